--- a/crates/stair-fleet/src/balance.rs
+++ b/crates/stair-fleet/src/balance.rs
@@ -12,8 +12,8 @@
     catalogue::Engine,
     cold_start,
     prefetch::Asked,
-    seen::Seen,
     target::Copy,
+    target_state::TargetState,
     view::{
         TargetKey,
         View, //
@@ -47,7 +47,7 @@
 /// One engine.
 struct Node<'a> {
     key: TargetKey,
-    seen: &'a Seen,
+    state: &'a TargetState,
     /// Whether it can be ordered to load now.
     free: bool,
     /// Models that it holds or is loading.
@@ -160,11 +160,15 @@
             found.ok()
         };
         let mut nodes = Vec::new();
-        for (key, seen) in opts.view.of(opts.service).filter(|(_, s)| s.open(now)) {
-            let report = seen.fresh(now);
-            let held = seen.holds(now).models.iter().map(|h| &h.name);
+        for (key, state) in opts
+            .view
+            .of(opts.service)
+            .filter(|(_, s)| s.is_available(now))
+        {
+            let report = state.fresh_report(now);
+            let held = state.holds(now).models.iter().map(|h| &h.name);
             let loading = report.and_then(|r| r.load.loading.as_ref());
-            let held = held.filter(|n| seen.has(n, now));
+            let held = held.filter(|n| state.has(n, now));
             let asked = opts.asked.iter().filter(|a| a.key == key).map(|a| &a.model);
             let names = held.chain(loading.map(|l| &l.model)).chain(asked);
             let mut here: Vec<usize> = names.filter_map(|n| index(n)).collect();
@@ -184,7 +188,7 @@
             });
             nodes.push(Node {
                 key,
-                seen,
+                state,
                 free: idle && !opts.left_alone.contains(&key),
                 models: here,
                 work: 0.0,
@@ -207,7 +211,7 @@
     fn near(&self) -> Option<Move> {
         let mut best: Option<Move> = None;
         for (n, node) in self.nodes.iter().enumerate().filter(|(_, n)| n.free) {
-            let holds = node.seen.holds(self.now);
+            let holds = node.state.holds(self.now);
             for (m, decl) in self.engine.models.iter().enumerate() {
                 let from = holds.copy(&decl.name);
                 if from == Copy::Store || !self.needs_replica(m) {
@@ -231,8 +235,8 @@
         let mut nodes: Vec<usize> = (0..self.nodes.len())
             .filter(|n| self.nodes[*n].free)
             .filter(|n| {
-                let seen = self.nodes[*n].seen;
-                !cold_start::has_last_copy(opts.view, opts.service, seen, self.now)
+                let state = self.nodes[*n].state;
+                !cold_start::has_last_copy(opts.view, opts.service, state, self.now)
             })
             .collect();
         nodes.sort_by(|a, b| {
@@ -336,7 +340,7 @@
     }
 
     fn busy(&self, node: usize, model: usize) -> bool {
-        let report = self.nodes[node].seen.fresh(self.now);
+        let report = self.nodes[node].state.fresh_report(self.now);
         let usage = report.and_then(|r| r.load.usage(&self.engine.models[model].name));
         usage.is_some_and(|u| u.in_flight > 0)
     }
--- a/crates/stair-fleet/src/choose.rs
+++ b/crates/stair-fleet/src/choose.rs
@@ -9,7 +9,7 @@
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
 use crate::{
-    seen::Seen,
+    target_state::TargetState,
     view::{
         TargetKey,
         View, //
@@ -74,8 +74,9 @@
 
 /// Chooses among the targets that are open and, where a model is asked for, hold it.
 pub fn choose(view: &View, opts: &Options<'_>, now: Duration) -> Option<Outcome> {
-    let able = |s: &Seen| s.takes(opts.suspects, now) && opts.model.is_none_or(|m| s.has(m, now));
-    let candidates: Vec<(TargetKey, &Seen)> = view
+    let able =
+        |s: &TargetState| s.accepts(opts.suspects, now) && opts.model.is_none_or(|m| s.has(m, now));
+    let candidates: Vec<(TargetKey, &TargetState)> = view
         .of(opts.service)
         .filter(|(key, s)| able(s) && !opts.tried.contains(key))
         .collect();
@@ -90,7 +91,7 @@
 }
 
 /// The replica that keeps the shared head of the prompt, by agreement.
-fn home(candidates: &[(TargetKey, &Seen)], opts: &Options<'_>) -> Option<TargetKey> {
+fn home(candidates: &[(TargetKey, &TargetState)], opts: &Options<'_>) -> Option<TargetKey> {
     let (_, hash) = opts.shared?;
     candidates
         .iter()
@@ -98,7 +99,7 @@
         .map(|(key, _)| *key)
 }
 
-fn wait_ms(s: &Seen, opts: &Options<'_>, home: bool, now: Duration) -> f64 {
+fn wait_ms(s: &TargetState, opts: &Options<'_>, home: bool, now: Duration) -> f64 {
     let lot = xxh3_64_with_seed(s.target.id.as_bytes(), opts.salt) as f64 / u64::MAX as f64;
     let mut ms = lot * EQUAL_MS + s.delay_ms.max(0.0) + s.failing * FAILING_MS;
     if *s.target.data_centre != *opts.data_centre {
@@ -116,8 +117,8 @@
         _ => 0,
     };
     ms += opts.tokens.saturating_sub(kept) as f64 / READ_TOKENS_PER_MS;
-    if let Some(report) = s.fresh(now) {
-        ms += s.reads_until.saturating_sub(now).as_secs_f64() * 1000.0;
+    if let Some(report) = s.fresh_report(now) {
+        ms += s.prefill_until.saturating_sub(now).as_secs_f64() * 1000.0;
         ms +=
             f64::from(report.load.running) * RUNNING_MS + f64::from(report.load.queued) * QUEUED_MS;
     } else {
@@ -133,9 +134,11 @@
     if opts.adapter.is_some_and(|a| !has(a)) {
         ms += ADAPTER_MS;
         // An engine takes no order for an adapter while a model comes or goes.
-        let loading = s.fresh(now).and_then(|r| r.load.loading.as_ref());
+        let loading = s.fresh_report(now).and_then(|r| r.load.loading.as_ref());
         ms += loading.map_or(0.0, |l| l.left.as_secs_f64() * 1000.0);
-        if s.fresh(now).is_some_and(|r| r.load.free_adapters == 0) {
+        if s.fresh_report(now)
+            .is_some_and(|r| r.load.free_adapters == 0)
+        {
             ms += FULL_MS;
         }
     }
--- a/crates/stair-fleet/src/cold_start.rs
+++ b/crates/stair-fleet/src/cold_start.rs
@@ -17,11 +17,11 @@
 use crate::{
     catalogue::Engine,
     fetch,
-    seen::Seen,
     target::{
         Copy,
         Report, //
     },
+    target_state::TargetState,
     view::{
         TargetKey,
         View, //
@@ -169,14 +169,14 @@
             demands: vec![Demand::default(); engine.models.len()],
             now,
         };
-        for (key, s) in view.of(service).filter(|(_, s)| s.open(now)) {
+        for (key, s) in view.of(service).filter(|(_, s)| s.is_available(now)) {
             look.count(key, s);
         }
         look
     }
 
-    fn count(&mut self, key: TargetKey, s: &Seen) {
-        let report = s.fresh(self.now);
+    fn count(&mut self, key: TargetKey, s: &TargetState) {
+        let report = s.fresh_report(self.now);
         let held = s.holds(self.now).models.iter().map(|h| &*h.name);
         let coming = report.and_then(|r| r.load.loading.as_ref());
         let coming = coming.map(|l| &*l.model).filter(|m| !s.has(m, self.now));
@@ -203,7 +203,7 @@
     fn places(&self, tried: &[TargetKey]) -> Vec<Outcome> {
         self.view
             .of(self.service)
-            .filter(|(key, s)| s.open(self.now) && !tried.contains(key))
+            .filter(|(key, s)| s.is_available(self.now) && !tried.contains(key))
             .filter_map(|(key, s)| self.cost_at(key, s))
             .collect()
     }
@@ -216,7 +216,8 @@
             fetch::under_way(view, self.service, now) < at_once
                 && !fetch::unreported(view, self.service, now)
         });
-        let near = |o: &Outcome| o.from != Copy::Store || view.get(o.key).coming(self.model, now);
+        let near =
+            |o: &Outcome| o.from != Copy::Store || view.get(o.key).is_loading(self.model, now);
         places
             .into_iter()
             .filter(|o| near(o) || *store_free)
@@ -228,9 +229,9 @@
             })
     }
 
-    fn cost_at(&self, key: TargetKey, s: &Seen) -> Option<Outcome> {
+    fn cost_at(&self, key: TargetKey, s: &TargetState) -> Option<Outcome> {
         let (model, now) = (self.model, self.now);
-        let report = s.fresh(now)?;
+        let report = s.fresh_report(now)?;
         let decl = self.engine.model(model)?;
         if s.has(model, now) {
             return None;
@@ -284,7 +285,7 @@
         &self,
         needed: f64,
         key: TargetKey,
-        s: &'s Seen,
+        s: &'s TargetState,
         report: &Report,
     ) -> Option<Vec<Victim<'s>>> {
         let engine = self.engine;
@@ -331,7 +332,7 @@
 ///
 /// A load from the weight store takes the place of its least used copy. Were that the last one, the
 /// next request for its model would wait for the weight store.
-pub fn has_last_copy(view: &View, service: &str, s: &Seen, now: Duration) -> bool {
+pub fn has_last_copy(view: &View, service: &str, s: &TargetState, now: Duration) -> bool {
     let holds = s.holds(now);
     let elsewhere = |name: &str| {
         view.of(service).any(|(_, other)| {
@@ -346,7 +347,7 @@
 }
 
 /// A number that all entries agree on for a model at an engine.
-fn lot(s: &Seen, model: &str) -> u64 {
+fn lot(s: &TargetState, model: &str) -> u64 {
     xxh3_64_with_seed(s.target.id.as_bytes(), xxh3_64(model.as_bytes()))
 }
 
--- a/crates/stair-fleet/src/fetch.rs
+++ b/crates/stair-fleet/src/fetch.rs
@@ -42,7 +42,7 @@
 /// Loads that are of use at once, at least one.
 pub fn at_once(view: &View, service: &str, engine: &Engine, now: Duration) -> usize {
     let together = u32::try_from(under_way(view, service, now)).unwrap_or(u32::MAX);
-    let reports = || view.of(service).filter_map(|(_, s)| s.fresh(now));
+    let reports = || view.of(service).filter_map(|(_, s)| s.fresh_report(now));
     let late = reports()
         .filter_map(|r| r.load.loading.as_ref())
         .filter(|l| l.from == Copy::Store)
@@ -89,7 +89,7 @@
 /// Counts the loads that are under way.
 pub fn under_way(view: &View, service: &str, now: Duration) -> usize {
     view.of(service)
-        .filter_map(|(_, s)| s.fresh(now)?.load.loading.as_ref())
+        .filter_map(|(_, s)| s.fresh_report(now)?.load.loading.as_ref())
         .filter(|l| l.from == Copy::Store)
         .count()
 }
@@ -99,7 +99,10 @@
 /// After a power cut agents report copies on disk a moment later. An entry that does not wait for them would keep
 /// the weight store busy with models that need not come from there.
 pub fn unreported(view: &View, service: &str, now: Duration) -> bool {
-    let mut open = view.of(service).filter(|(_, s)| s.open(now)).peekable();
+    let mut open = view
+        .of(service)
+        .filter(|(_, s)| s.is_available(now))
+        .peekable();
     let none = open.peek().is_none();
-    now < HEARD_TIME && (none || open.any(|(_, s)| s.fresh(now).is_none()))
+    now < HEARD_TIME && (none || open.any(|(_, s)| s.fresh_report(now).is_none()))
 }
--- a/crates/stair-fleet/src/lib.rs
+++ b/crates/stair-fleet/src/lib.rs
@@ -8,7 +8,7 @@
 //! - [`workspace`]: who a request is for, and what its workspace may ask for.
 //! - [`target`]: what a target announces, and what its agent reports of it.
 //! - [`view`]: all that one entry knows of the targets, with the age of each part.
-//! - [`seen`]: one target as an entry knows it.
+//! - [`target_state`]: one target as an entry knows it.
 //! - [`choose`]: the target for a request among those that can run it now.
 //! - [`cold_start`]: the target that loads a model, and what makes room for it there.
 //! - [`overload`]: what to do with a request whose best target is slow.
@@ -40,8 +40,8 @@
 pub mod prefetch;
 pub mod prefill;
 pub mod quarantine;
-pub mod seen;
 pub mod target;
+pub mod target_state;
 pub mod view;
 pub mod workspace;
 
--- a/crates/stair-fleet/src/prefetch.rs
+++ b/crates/stair-fleet/src/prefetch.rs
@@ -10,11 +10,11 @@
     balance,
     catalogue::Engine,
     cold_start, fetch,
-    seen::Seen,
     target::{
         Copy,
         Report, //
     },
+    target_state::TargetState,
     view::{
         TargetKey,
         View, //
@@ -58,8 +58,8 @@
     asked: &[Asked],
     now: Duration,
 ) -> Option<Outcome> {
-    let at_work = |s: &Seen| {
-        s.fresh(now).is_none_or(|r| {
+    let at_work = |s: &TargetState| {
+        s.fresh_report(now).is_none_or(|r| {
             r.load.loading.is_some() || r.load.unloading || !r.load.to_load.is_zero()
         })
     };
@@ -111,12 +111,14 @@
     }
 
     /// Whether an engine holds the model or is loading it.
-    fn there(&self, key: TargetKey, s: &Seen, model: &str) -> bool {
+    fn there(&self, key: TargetKey, s: &TargetState, model: &str) -> bool {
         let asked = self
             .asked
             .iter()
             .any(|a| a.key == key && *a.model == *model);
-        asked || (s.open(self.now) && (s.has(model, self.now) || s.coming(model, self.now)))
+        asked
+            || (s.is_available(self.now)
+                && (s.has(model, self.now) || s.is_loading(model, self.now)))
     }
 
     /// A further replica of a model whose replicas are crowded.
@@ -141,7 +143,7 @@
 
     /// Loads from the weight store that are under way or asked for.
     fn store_loads(&self) -> usize {
-        let reported = |a: &&Asked| !self.view.get(a.key).coming(&a.model, self.now);
+        let reported = |a: &&Asked| !self.view.get(a.key).is_loading(&a.model, self.now);
         let from_store = |a: &&Asked| {
             let holds = self.view.get(a.key).holds(self.now);
             holds.copy(&a.model) == Copy::Store
@@ -156,9 +158,9 @@
 
     /// Engines that hold the model or have a copy of it.
     fn copies(&self, model: &str) -> usize {
-        let near = |(key, s): &(TargetKey, &Seen)| {
+        let near = |(key, s): &(TargetKey, &TargetState)| {
             let copy = s.holds(self.now).copy(model) != Copy::Store;
-            self.there(*key, s, model) || (copy && s.open(self.now))
+            self.there(*key, s, model) || (copy && s.is_available(self.now))
         };
         self.view.of(self.service).filter(near).count()
     }
@@ -179,7 +181,7 @@
     fn demands(&self) -> Vec<(&str, f32)> {
         let mut out: Vec<(&str, f32)> = Vec::new();
         let reports = self.view.of(self.service);
-        let reports = reports.filter_map(|(_, s)| s.fresh(self.now));
+        let reports = reports.filter_map(|(_, s)| s.fresh_report(self.now));
         for demand in reports.flat_map(|r| &r.load.unserved) {
             let Some(model) = self.engine.model(&demand.model) else {
                 continue;
@@ -230,8 +232,8 @@
         if self.store_loads() >= PREFETCH_RARE || self.unreported() {
             return None;
         }
-        let busy = |s: &Seen| {
-            let report = s.fresh(self.now);
+        let busy = |s: &TargetState| {
+            let report = s.fresh_report(self.now);
             let per_s = |r: &Report| r.load.usage.iter().map(|u| u.per_s).sum::<f32>();
             report.is_none_or(|r| per_s(r) > IDLE_PER_S)
         };
--- a/crates/stair-fleet/tests/choose.rs
+++ b/crates/stair-fleet/tests/choose.rs
@@ -9,12 +9,12 @@
         Options,
         choose, //
     },
-    seen::SUSPECT_TIME,
     target::{
         Held,
         Loading,
         State, //
     },
+    target_state::SUSPECT_DURATION,
 };
 use support::{
     NOW,
@@ -61,7 +61,7 @@
     for _ in 0..10 {
         assert_eq!(choose(&view, &opts, NOW).expect("one").key, home);
     }
-    view.get_mut(home).reads_until = NOW + ms(1500);
+    view.get_mut(home).prefill_until = NOW + ms(1500);
     assert_ne!(choose(&view, &opts, NOW).expect("one").key, home);
 }
 
@@ -103,14 +103,14 @@
 #[test]
 fn suspects_last() {
     let (mut view, keys) = fleet(vec![report(&["a"], &[])]);
-    view.get_mut(keys[0]).suspect_until = NOW + SUSPECT_TIME;
+    view.get_mut(keys[0]).suspect_until = NOW + SUSPECT_DURATION;
     assert_eq!(choose(&view, &ask("a"), NOW), None);
     let opts = Options {
         suspects: true,
         ..ask("a")
     };
     assert_eq!(choose(&view, &opts, NOW).expect("one").key, keys[0]);
-    assert!(choose(&view, &ask("a"), NOW + SUSPECT_TIME).is_some());
+    assert!(choose(&view, &ask("a"), NOW + SUSPECT_DURATION).is_some());
 }
 
 /// One of three plain targets fails half of its requests while it says that it is well. Its share
@@ -125,11 +125,11 @@
     };
     let first = choose(&view, &opts, NOW).expect("one").key;
     for _ in 0..5 {
-        view.get_mut(first).learn(false);
+        view.get_mut(first).record_attempt(false);
     }
     assert_ne!(choose(&view, &opts, NOW).expect("one").key, first);
     for _ in 0..60 {
-        view.get_mut(first).learn(true);
+        view.get_mut(first).record_attempt(true);
     }
     assert!(view.get(first).failing < 0.01);
 }
--- a/crates/stair-fleet/tests/cold_start.rs
+++ b/crates/stair-fleet/tests/cold_start.rs
@@ -297,18 +297,18 @@
     let (mut view, keys) = fleet(vec![report(&[], &[]), report(&[], &["a"])]);
     let young = ms(700);
     for n in 0..2 {
-        view.unreport(support::addr(n));
+        view.drop_report_at(support::addr(n));
     }
-    view.holds_at(support::addr(0), support::holds(&[], &[]), young);
-    view.load_at(support::addr(0), report(&[], &[]).load, young);
+    view.set_inventory_at(support::addr(0), support::holds(&[], &[]), young);
+    view.set_load_at(support::addr(0), report(&[], &[]).load, young);
     let found = find(&view, SERVICE, &engine(), "a", &[], young);
     assert_eq!(found, Err(Error::Unheard));
     assert_eq!(prefetch::next(&view, SERVICE, &engine(), &[], young), None);
     let older = ms(2600);
     let found = find(&view, SERVICE, &engine(), "a", &[], older).expect("a place");
     assert_eq!((found.key, found.from), (keys[0], Copy::Store));
-    view.holds_at(support::addr(1), support::holds(&[], &["a"]), young);
-    view.load_at(support::addr(1), report(&[], &[]).load, young);
+    view.set_inventory_at(support::addr(1), support::holds(&[], &["a"]), young);
+    view.set_load_at(support::addr(1), report(&[], &[]).load, young);
     let found = find(&view, SERVICE, &engine(), "a", &[], young).expect("a place");
     assert_eq!((found.key, found.from), (keys[1], Copy::Disk));
 }
--- a/crates/stair-fleet/tests/outlier.rs
+++ b/crates/stair-fleet/tests/outlier.rs
@@ -52,7 +52,7 @@
         let first = pick(&view, &[], n);
         got[keys.iter().position(|k| *k == first).expect("known")] += 1;
         if n % 14 != 0 {
-            view.get_mut(first).learn(true);
+            view.get_mut(first).record_attempt(true);
             continue;
         }
         let failed = [first, pick(&view, &[first], n)];
@@ -61,7 +61,7 @@
             served: false,
         };
         for key in outliers(&opts) {
-            view.get_mut(*key).learn(false);
+            view.get_mut(*key).record_attempt(false);
         }
     }
     assert!(got.iter().all(|n| (250..420).contains(n)), "{got:?}");
--- a/crates/stair-fleet/tests/random.rs
+++ b/crates/stair-fleet/tests/random.rs
@@ -128,7 +128,7 @@
             oracle.pass(now);
             for n in 0..LIVES {
                 let id = life(n).id;
-                let open = view.all().any(|(_, s)| s.target.id == id && s.open(now));
+                let open = view.all().any(|(_, s)| s.target.id == id && s.is_available(now));
                 prop_assert_eq!(open, oracle.lives[n].is_some(), "{}", id);
             }
         }
--- a/crates/stair-fleet/tests/support/mod.rs
+++ b/crates/stair-fleet/tests/support/mod.rs
@@ -147,8 +147,8 @@
 
 /// Tells the view what the agent of an engine reports.
 pub(crate) fn tell(view: &mut View, n: usize, report: Report) {
-    view.holds_at(addr(n), report.holds, NOW);
-    view.load_at(addr(n), report.load, NOW);
+    view.set_inventory_at(addr(n), report.holds, NOW);
+    view.set_load_at(addr(n), report.load, NOW);
 }
 
 pub(crate) fn ask<'a>(model: &'a str) -> choose::Options<'a> {
--- a/crates/stair-fleet/tests/view.rs
+++ b/crates/stair-fleet/tests/view.rs
@@ -30,7 +30,11 @@
     let mut view = View::default();
     view.replace(vec![target(0, SERVICE), target(1, SERVICE)], 1, NOW, NOW);
     view.replace(vec![target(0, SERVICE)], 2, NOW + ms(1900), NOW);
-    let open = |view: &View, now| view.of(SERVICE).filter(|(_, s)| s.open(now)).count();
+    let open = |view: &View, now| {
+        view.of(SERVICE)
+            .filter(|(_, s)| s.is_available(now))
+            .count()
+    };
     assert_eq!(open(&view, NOW), 2);
     assert_eq!(open(&view, NOW + ms(1900)), 1);
     view.put(target(1, SERVICE), NOW);
@@ -43,7 +47,7 @@
     let mut view = View::default();
     view.replace(vec![target(0, SERVICE)], 1, NOW, NOW);
     view.replace(vec![], 2, NOW, NOW);
-    assert!(!view.of(SERVICE).any(|(_, s)| s.open(NOW)));
+    assert!(!view.of(SERVICE).any(|(_, s)| s.is_available(NOW)));
 }
 
 /// A target's address is used again by a target of another service. Its requests must go by the
@@ -63,11 +67,11 @@
 fn leaving_is_not_open() {
     let mut view = View::default();
     let key = view.put(target(0, SERVICE), NOW).expect("a newer word");
-    assert!(view.get(key).open(NOW));
+    assert!(view.get(key).is_available(NOW));
     let mut leaving = target(0, SERVICE);
     leaving.state = State::Draining(None);
     view.put(leaving, NOW);
-    assert!(!view.get(key).open(NOW));
+    assert!(!view.get(key).is_available(NOW));
 }
 
 /// An engine says that it lacks a model that its announcement still lists. Until the next one, no
@@ -76,7 +80,7 @@
 fn lacks_a_model() {
     let (mut view, keys) = fleet(vec![report(&["a"], &[])]);
     assert!(view.get(keys[0]).has("a", NOW));
-    view.get_mut(keys[0]).lacks("a");
+    view.get_mut(keys[0]).mark_not_loaded("a");
     assert!(!view.get(keys[0]).has("a", NOW));
     tell(&mut view, 0, report(&["a"], &[]));
     assert!(view.get(keys[0]).has("a", NOW));
@@ -126,15 +130,19 @@
     peer.replace(vec![target(0, SERVICE), target(1, SERVICE)], 1, NOW, NOW);
     let mut cut = peer.clone();
     peer.replace(vec![target(0, SERVICE)], 2, NOW + ms(1900), NOW);
-    let open = |view: &View, now| view.of(SERVICE).filter(|(_, s)| s.open(now)).count();
+    let open = |view: &View, now| {
+        view.of(SERVICE)
+            .filter(|(_, s)| s.is_available(now))
+            .count()
+    };
     // The peer waits for it itself: so does the other, no longer.
-    cut.replace_by_peers(peer.list(NOW + ms(1000)), 2, NOW + ms(1000));
+    cut.replace_from_peer(peer.list(NOW + ms(1000)), 2, NOW + ms(1000));
     assert_eq!(open(&cut, NOW + ms(1500)), 2);
     assert_eq!(open(&cut, NOW + ms(1900)), 1);
     let later = NOW + ms(5000);
     let mut third = View::default();
     third.replace(vec![target(0, SERVICE), target(1, SERVICE)], 1, NOW, NOW);
-    third.replace_by_peers(peer.list(later), 2, later);
+    third.replace_from_peer(peer.list(later), 2, later);
     assert_eq!(open(&third, later), 1);
 }
 
@@ -191,8 +199,8 @@
     let other = view.put(target(1, "lookups"), NOW).expect("a newer word");
     assert_ne!(key, other);
     let seen = view.get(key);
-    assert!(!seen.takes(true, NOW) && !seen.open(NOW));
-    view.get_mut(key).learn(false);
+    assert!(!seen.accepts(true, NOW) && !seen.is_available(NOW));
+    view.get_mut(key).record_attempt(false);
     view.get_mut(key).in_flight += 1;
     assert_eq!(view.get(other).failing, 0.0);
     assert_eq!(view.get(other).in_flight, 0);
@@ -216,7 +224,7 @@
     view.get_mut(before).in_flight = 1;
     let after = view.put(life(20), NOW).expect("a newer word");
     assert_ne!(before, after);
-    assert!(!view.get(before).takes(true, NOW));
+    assert!(!view.get(before).accepts(true, NOW));
     assert!(view.get(after).report.is_none() && view.get(after).in_flight == 0);
     assert_eq!(view.at(addr(0)).map(|(key, _)| key), Some(after));
     assert_eq!(view.of(SERVICE).count(), 1);
@@ -232,7 +240,7 @@
     old.state = State::Draining(None);
     assert_eq!(view.put(old.clone(), NOW), None);
     view.replace(vec![old], 2, NOW, NOW + ms(1000));
-    assert!(view.get(key).open(NOW + ms(1000)));
+    assert!(view.get(key).is_available(NOW + ms(1000)));
     // A writer that does not say when it started is not the target either.
     assert_eq!(view.put(target(0, SERVICE), NOW + ms(1000)), None);
 }
@@ -283,8 +291,8 @@
     let mut cut = View::default();
     cut.declare([SERVICE]);
     let key = cut.put(target(0, SERVICE), NOW).expect("a newer word");
-    cut.replace_by_peers(peer.list(NOW), 2, NOW);
-    assert!(cut.get(key).open(NOW));
+    cut.replace_from_peer(peer.list(NOW), 2, NOW);
+    assert!(cut.get(key).is_available(NOW));
 }
 
 /// A model whose only engine is down may soon be there again; one whose engine has left for good, or is back
--- a/crates/stair-relay/src/context.rs
+++ b/crates/stair-relay/src/context.rs
@@ -40,7 +40,7 @@
         Answer,
         Read, //
     },
-    seen::OVERDUE_TIME,
+    target_state::HEARTBEAT_TIMEOUT,
     view::TargetKey, //
 };
 use stair_telemetry::{
@@ -256,8 +256,8 @@
         let (falls, quiet, id) = {
             let mut state = self.state();
             let seen = state.view.get_mut(key);
-            let falls = seen.mark_quiet(OVERDUE_TIME, now);
-            (falls, seen.quiet, seen.target.id.clone())
+            let falls = seen.mark_unresponsive(HEARTBEAT_TIMEOUT, now);
+            (falls, seen.unresponsive, seen.target.id.clone())
         };
         if falls {
             self.are_quiet(&[id]);
@@ -268,7 +268,7 @@
     /// Whether a target takes requests by its own word.
     pub(crate) fn takes(&self, key: TargetKey) -> bool {
         let now = self.now();
-        self.state().view.get(key).takes(true, now)
+        self.state().view.get(key).accepts(true, now)
     }
 
     /// Tells of targets whose VMs were found to stand still.
@@ -285,7 +285,7 @@
     pub async fn fall_quiet(&self, keys: &[TargetKey]) {
         loop {
             let notified = self.quiet.notified();
-            if keys.iter().any(|k| self.state().view.get(*k).quiet) {
+            if keys.iter().any(|k| self.state().view.get(*k).unresponsive) {
                 return;
             }
             notified.await;
@@ -297,11 +297,15 @@
         let now = self.now();
         let state = self.state();
         let listed = state.view.all().count();
-        let open = state.view.all().filter(|(_, s)| s.open(now)).count();
+        let open = state
+            .view
+            .all()
+            .filter(|(_, s)| s.is_available(now))
+            .count();
         let reported = state
             .view
             .all()
-            .filter(|(_, s)| s.fresh(now).is_some())
+            .filter(|(_, s)| s.fresh_report(now).is_some())
             .count();
         drop(state);
         let set = |name, n: usize| {
--- a/crates/stair-relay/src/crash.rs
+++ b/crates/stair-relay/src/crash.rs
@@ -16,8 +16,8 @@
         ESTABLISHED_TIME,
         Run, //
     },
-    seen::Seen,
-    target::State as TargetState,
+    target::State,
+    target_state::TargetState,
     view::TargetKey, //
 };
 use stair_telemetry::event::Line;
@@ -63,7 +63,7 @@
 }
 
 impl Life {
-    fn of(seen: &Seen) -> Self {
+    fn of(seen: &TargetState) -> Self {
         Self {
             id: seen.target.id.clone(),
             started: seen.target.started,
@@ -199,7 +199,7 @@
         let mut state = cx.state();
         let seen = state.view.get(key);
         // What a target cuts that leaves is not put down to its requests.
-        if seen.target.state != TargetState::Ready {
+        if seen.target.state != State::Ready {
             return;
         }
         let (life, addr) = (Life::of(seen), seen.target.addr);
@@ -264,11 +264,11 @@
                 return true;
             };
             match seen.target.state {
-                TargetState::Draining(_) => return false,
-                TargetState::Ready if seen.fresh(now).is_some_and(|r| !r.load.alive) => {
+                State::Draining(_) => return false,
+                State::Ready if seen.fresh_report(now).is_some_and(|r| !r.load.alive) => {
                     return true;
                 }
-                TargetState::Ready => {}
+                State::Ready => {}
             }
         }
         sleep(LOOK_EVERY).await;
--- a/crates/stair-relay/src/dump.rs
+++ b/crates/stair-relay/src/dump.rs
@@ -11,8 +11,8 @@
         Notice,
         Standing, //
     },
-    seen::Seen, //
     target::Report,
+    target_state::TargetState, //
 };
 
 use crate::context::{
@@ -143,11 +143,11 @@
     Some(catalogue.workspaces.as_ref()?.all().len())
 }
 
-fn target(seen: &Seen, now: Duration) -> TargetDump {
+fn target(seen: &TargetState, now: Duration) -> TargetDump {
     let report = seen.report.as_ref();
     TargetDump {
         target: seen.target.clone(),
-        open: seen.open(now),
+        open: seen.is_available(now),
         missing_for_ms: seen.missing_until.map(|t| ms(t.saturating_sub(now))),
         suspect_for_ms: ms(seen.suspect_until.saturating_sub(now)),
         in_flight: seen.in_flight,
--- a/crates/stair-relay/src/failures.rs
+++ b/crates/stair-relay/src/failures.rs
@@ -54,7 +54,7 @@
         });
         let mut state = self.cx.state();
         for key in outliers {
-            state.view.get_mut(*key).learn(false);
+            state.view.get_mut(*key).record_attempt(false);
         }
         drop(state);
         Line::new("failures")
--- a/crates/stair-relay/src/links.rs
+++ b/crates/stair-relay/src/links.rs
@@ -16,8 +16,8 @@
         ToAgent,
         ToEntry, //
     },
-    seen::QUIET_TIME,
     target::State as TargetState,
+    target_state::UNRESPONSIVE_TIMEOUT,
 };
 use stair_telemetry::event::Line;
 use stair_wire::frame;
@@ -118,12 +118,12 @@
         looked = Instant::now();
         if late {
             // What agents said meanwhile is still to be read.
-            trusted_from = looked + QUIET_TIME;
+            trusted_from = looked + UNRESPONSIVE_TIMEOUT;
         }
         if looked < trusted_from {
             continue;
         }
-        let quiet = cx.state().view.mark_quiet(cx.now());
+        let quiet = cx.state().view.mark_unresponsive(cx.now());
         cx.are_quiet(&quiet);
     }
 }
@@ -160,12 +160,12 @@
                     .show("why", format_args!("{ended:?}"))
                     .write();
                 if ended == Ended::Closed {
-                    cx.state().view.agent_gone_at(engine);
+                    cx.state().view.agent_disconnected_at(engine);
                 }
             }
             // Its VM answers and no agent is there.
             Ok(Err(e)) if e.kind() == ErrorKind::ConnectionRefused => {
-                cx.state().view.agent_gone_at(engine);
+                cx.state().view.agent_disconnected_at(engine);
             }
             // No sign of the VM, or this process is out of descriptors.
             Ok(Err(_)) | Err(_) => {}
@@ -208,7 +208,7 @@
     state.homes.clear();
     state.allowances.link_ended(engine);
     state.quarantine.link_ended(engine);
-    state.view.unreport(engine);
+    state.view.drop_report_at(engine);
 }
 
 /// How a link has ended.
@@ -243,13 +243,13 @@
             Err(_) => return Ended::Silent,
         };
         let now = cx.now();
-        cx.state().view.message_at(engine, now);
+        cx.state().view.record_message_at(engine, now);
         match msg {
             ToEntry::Holds(holds) => {
-                cx.state().view.holds_at(engine, *holds, now);
+                cx.state().view.set_inventory_at(engine, *holds, now);
             }
             ToEntry::Load(load) => {
-                cx.state().view.load_at(engine, *load, now);
+                cx.state().view.set_load_at(engine, *load, now);
             }
             ToEntry::Done { seq, outcome } => {
                 let waiting = {
@@ -273,7 +273,7 @@
                 let found = list.iter().position(|(s, _)| *s == seq);
                 let asked = found.map(|i| list.swap_remove(i).1);
                 let until = now + answer.backlog;
-                state.view.reads_at(engine, until);
+                state.view.set_prefill_until(engine, until);
                 drop(state);
                 // The request that asked may have been given up.
                 asked.map(|tx| tx.send(answer));
--- a/crates/stair-relay/src/pick.rs
+++ b/crates/stair-relay/src/pick.rs
@@ -333,7 +333,7 @@
     let (addr, id, age) = {
         let state = cx.state();
         let seen = state.view.get(at.key);
-        if !seen.takes(suspects, cx.now()) {
+        if !seen.accepts(suspects, cx.now()) {
             return None;
         }
         let age = seen
--- a/crates/stair-relay/src/relay.rs
+++ b/crates/stair-relay/src/relay.rs
@@ -16,7 +16,7 @@
 };
 use platform_adapter::request::Meta;
 use stair_fleet::{
-    seen::SUSPECT_TIME,
+    target_state::SUSPECT_DURATION,
     view::TargetKey, //
 };
 use stair_http::body::{
@@ -337,7 +337,7 @@
     let mut former = None;
     match outcome {
         Outcome::NotSent(_) => {
-            seen.suspect_until = now + SUSPECT_TIME;
+            seen.suspect_until = now + SUSPECT_DURATION;
         }
         Outcome::NotRun {
             misdirected: true,
@@ -348,24 +348,24 @@
             match &job.meta.model {
                 // The target that was meant is gone, whatever the list still says.
                 _ if other => {
-                    seen.leave();
+                    seen.mark_removed();
                     former = Some(seen.target.addr);
                 }
-                Some(model) => seen.lacks(model),
-                None => seen.learn(false),
+                Some(model) => seen.mark_not_loaded(model),
+                None => seen.record_attempt(false),
             }
         }
-        Outcome::NotRun { .. } => seen.learn(false),
+        Outcome::NotRun { .. } => seen.record_attempt(false),
         Outcome::Lost(_) | Outcome::Late => {
             tried.ran += 1;
-            seen.learn(false);
+            seen.record_attempt(false);
         }
         Outcome::Head(live) => {
             tried.ran += 1;
             if live.head.status.is_server_error() {
                 tried.failures.add(key);
             } else {
-                seen.learn(true);
+                seen.record_attempt(true);
             }
         }
     }
--- a/crates/stair-relay/src/replicate.rs
+++ b/crates/stair-relay/src/replicate.rs
@@ -237,7 +237,7 @@
         if revision <= state.view.revision {
             return;
         }
-        state.view.replace_by_peers(listed, revision, cx.now());
+        state.view.replace_from_peer(listed, revision, cx.now());
         state.drop_former();
     }
     log_list(cx, revision, count, peer);
--- a/crates/stair-relay/src/stream.rs
+++ b/crates/stair-relay/src/stream.rs
@@ -134,7 +134,7 @@
     cx.state()
         .view
         .get_mut(key)
-        .learn_delay((took - picked.wait_ms).max(0.0) / 4.0);
+        .record_delay((took - picked.wait_ms).max(0.0) / 4.0);
     cx.page.time("first_event_ms", &[], job.received.elapsed());
     let (tx, body) = channel(QUEUE);
     let pump = Pump {
--- a/crates/stair-sidecar/tests/load.rs
+++ b/crates/stair-sidecar/tests/load.rs
@@ -255,8 +255,8 @@
             engine.tell_used(now);
             for view in &mut self.views {
                 let addr = view.get(self.keys[n]).target.addr;
-                view.holds_at(addr, engine.controller.held(), now);
-                view.load_at(addr, engine.controller.load(now), now);
+                view.set_inventory_at(addr, engine.controller.held(), now);
+                view.set_load_at(addr, engine.controller.load(now), now);
             }
         }
     }
