--- a/crates/stair-fleet/src/balance.rs
+++ b/crates/stair-fleet/src/balance.rs
@@ -12,7 +12,7 @@
     catalogue::Engine,
     cold_start,
     prefetch::Asked,
-    target::Copy,
+    target::CopyLocation,
     target_state::TargetState,
     view::{
         TargetKey,
@@ -82,7 +82,7 @@
 struct Move {
     model: usize,
     node: usize,
-    from: Copy,
+    from: CopyLocation,
     victims: Vec<usize>,
     gain: f64,
 }
@@ -166,9 +166,9 @@
             .filter(|(_, s)| s.is_available(now))
         {
             let report = state.fresh_report(now);
-            let held = state.holds(now).models.iter().map(|h| &h.name);
+            let held = state.inventory(now).models.iter().map(|h| &h.name);
             let loading = report.and_then(|r| r.load.loading.as_ref());
-            let held = held.filter(|n| state.has(n, now));
+            let held = held.filter(|n| state.can_run(n, now));
             let asked = opts.asked.iter().filter(|a| a.key == key).map(|a| &a.model);
             let names = held.chain(loading.map(|l| &l.model)).chain(asked);
             let mut here: Vec<usize> = names.filter_map(|n| index(n)).collect();
@@ -180,11 +180,11 @@
             for usage in report.iter().flat_map(|r| &r.load.usage) {
                 if let Some(m) = index(&usage.model) {
                     models[m].per_s += f64::from(usage.per_s);
-                    models[m].work += f64::from(usage.work);
+                    models[m].work += f64::from(usage.prefill_fraction);
                 }
             }
             let idle = report.is_some_and(|r| {
-                r.load.loading.is_none() && !r.load.unloading && r.load.to_load.is_zero()
+                r.load.loading.is_none() && !r.load.unloading && r.load.queued_load_time.is_zero()
             });
             nodes.push(Node {
                 key,
@@ -211,10 +211,10 @@
     fn near(&self) -> Option<Move> {
         let mut best: Option<Move> = None;
         for (n, node) in self.nodes.iter().enumerate().filter(|(_, n)| n.free) {
-            let holds = node.state.holds(self.now);
+            let inventory = node.state.inventory(self.now);
             for (m, decl) in self.engine.models.iter().enumerate() {
-                let from = holds.copy(&decl.name);
-                if from == Copy::Store || !self.needs_replica(m) {
+                let from = inventory.copy(&decl.name);
+                if from == CopyLocation::Store || !self.needs_replica(m) {
                     continue;
                 }
                 best = better(best, self.at(m, n, from, MARGIN_FREE, MARGIN_VICTIMS));
@@ -246,7 +246,7 @@
         let mut best = None;
         for m in models.iter().take(STORE_MODELS) {
             for n in nodes.iter().take(STORE_ENGINES) {
-                let found = self.at(*m, *n, Copy::Store, MARGIN_STORE, MARGIN_STORE);
+                let found = self.at(*m, *n, CopyLocation::Store, MARGIN_STORE, MARGIN_STORE);
                 best = better(best, found);
             }
         }
@@ -266,7 +266,7 @@
         &self,
         model: usize,
         node: usize,
-        from: Copy,
+        from: CopyLocation,
         margin_free: f64,
         margin_victims: f64,
     ) -> Option<Move> {
--- a/crates/stair-fleet/src/catalogue.rs
+++ b/crates/stair-fleet/src/catalogue.rs
@@ -8,7 +8,7 @@
 };
 
 use crate::{
-    target::Copy,
+    target::CopyLocation,
     workspace::Workspaces, //
 };
 
@@ -251,11 +251,11 @@
 
 impl Model {
     /// Time of a load from where its copy lies.
-    pub fn load_time(&self, from: Copy) -> Duration {
+    pub fn load_time(&self, from: CopyLocation) -> Duration {
         match from {
-            Copy::Memory => self.from_memory,
-            Copy::Disk => self.from_disk,
-            Copy::Store => self.from_store,
+            CopyLocation::Memory => self.from_memory,
+            CopyLocation::Disk => self.from_disk,
+            CopyLocation::Store => self.from_store,
         }
     }
 }
--- a/crates/stair-fleet/src/choose.rs
+++ b/crates/stair-fleet/src/choose.rs
@@ -74,8 +74,9 @@
 
 /// Chooses among the targets that are open and, where a model is asked for, hold it.
 pub fn choose(view: &View, opts: &Options<'_>, now: Duration) -> Option<Outcome> {
-    let able =
-        |s: &TargetState| s.accepts(opts.suspects, now) && opts.model.is_none_or(|m| s.has(m, now));
+    let able = |s: &TargetState| {
+        s.accepts(opts.suspects, now) && opts.model.is_none_or(|m| s.can_run(m, now))
+    };
     let candidates: Vec<(TargetKey, &TargetState)> = view
         .of(opts.service)
         .filter(|(key, s)| able(s) && !opts.tried.contains(key))
@@ -127,7 +128,7 @@
         ms += f64::from(s.in_flight) * RUNNING_MS;
     }
     let has = |a: &str| {
-        s.holds(now)
+        s.inventory(now)
             .model(model)
             .is_some_and(|h| h.adapters.iter().any(|x| **x == *a))
     };
@@ -135,7 +136,7 @@
         ms += ADAPTER_MS;
         // An engine takes no order for an adapter while a model comes or goes.
         let loading = s.fresh_report(now).and_then(|r| r.load.loading.as_ref());
-        ms += loading.map_or(0.0, |l| l.left.as_secs_f64() * 1000.0);
+        ms += loading.map_or(0.0, |l| l.remaining.as_secs_f64() * 1000.0);
         if s.fresh_report(now)
             .is_some_and(|r| r.load.free_adapters == 0)
         {
--- a/crates/stair-fleet/src/cold_start.rs
+++ b/crates/stair-fleet/src/cold_start.rs
@@ -18,7 +18,7 @@
     catalogue::Engine,
     fetch,
     target::{
-        Copy,
+        CopyLocation,
         Report, //
     },
     target_state::TargetState,
@@ -80,7 +80,7 @@
     /// The engine.
     pub key: TargetKey,
     /// Where its copy lies.
-    pub from: Copy,
+    pub from: CopyLocation,
     /// Time until it can run, as far as can be told.
     pub ready_in: Duration,
     /// What has to be unloaded first, the least missed first.
@@ -177,15 +177,17 @@
 
     fn count(&mut self, key: TargetKey, s: &TargetState) {
         let report = s.fresh_report(self.now);
-        let held = s.holds(self.now).models.iter().map(|h| &*h.name);
+        let held = s.inventory(self.now).models.iter().map(|h| &*h.name);
         let coming = report.and_then(|r| r.load.loading.as_ref());
-        let coming = coming.map(|l| &*l.model).filter(|m| !s.has(m, self.now));
-        let here = held.filter(|m| s.has(m, self.now)).chain(coming);
+        let coming = coming
+            .map(|l| &*l.model)
+            .filter(|m| !s.can_run(m, self.now));
+        let here = held.filter(|m| s.can_run(m, self.now)).chain(coming);
         for model in here {
             let Ok(i) = self.index(model) else { continue };
             let usage = report.and_then(|r| r.load.usage(model));
             self.demands[i].per_s += f64::from(usage.map_or(0.0, |u| u.per_s));
-            self.demands[i].work += f64::from(usage.map_or(0.0, |u| u.work));
+            self.demands[i].work += f64::from(usage.map_or(0.0, |u| u.prefill_fraction));
             self.demands[i].replicas += 1;
             let lot = lot(s, model);
             if self.demands[i].spare.is_none_or(|(most, _)| lot > most) {
@@ -216,8 +218,9 @@
             fetch::under_way(view, self.service, now) < at_once
                 && !fetch::unreported(view, self.service, now)
         });
-        let near =
-            |o: &Outcome| o.from != Copy::Store || view.get(o.key).is_loading(self.model, now);
+        let near = |o: &Outcome| {
+            o.from != CopyLocation::Store || view.get(o.key).is_loading(self.model, now)
+        };
         places
             .into_iter()
             .filter(|o| near(o) || *store_free)
@@ -233,27 +236,27 @@
         let (model, now) = (self.model, self.now);
         let report = s.fresh_report(now)?;
         let decl = self.engine.model(model)?;
-        if s.has(model, now) {
+        if s.can_run(model, now) {
             return None;
         }
         if let Some(loading) = report.load.loading.as_ref().filter(|l| *l.model == *model) {
             return Some(Outcome {
                 key,
                 from: loading.from,
-                ready_in: loading.left,
+                ready_in: loading.remaining,
                 victims: Vec::new(),
-                cost_ms: ms(loading.left),
+                cost_ms: ms(loading.remaining),
             });
         }
-        let from = report.holds.copy(model);
+        let from = report.inventory.copy(model);
         let mut ready = decl.load_time(from);
         if let Some(other) = &report.load.loading {
-            ready += other.left;
+            ready += other.remaining;
         }
         if report.load.unloading {
             ready += UNLOAD_TIME;
         }
-        ready += report.load.to_load;
+        ready += report.load.queued_load_time;
         let victims = self.room(decl.weights_mb, key, s, report)?;
         ready += busy_time(victims.iter().map(|v| v.name), report);
         let missed: f64 = victims.iter().map(|v| v.missed_ms).sum();
@@ -290,7 +293,7 @@
     ) -> Option<Vec<Victim<'s>>> {
         let engine = self.engine;
         let size = |name: &str| engine.model(name).map_or(0.0, |m| m.weights_mb);
-        let held = &s.holds(self.now).models;
+        let held = &s.inventory(self.now).models;
         let coming = report.load.loading.as_ref().map_or(0.0, |l| size(&l.model));
         let taken: f64 = held.iter().map(|h| size(&h.name)).sum::<f64>() + coming;
         let mut free = engine.weights_mb - adapters_mb(engine) - taken;
@@ -333,16 +336,16 @@
 /// A load from the weight store takes the place of its least used copy. Were that the last one, the
 /// next request for its model would wait for the weight store.
 pub fn has_last_copy(view: &View, service: &str, s: &TargetState, now: Duration) -> bool {
-    let holds = s.holds(now);
+    let inventory = s.inventory(now);
     let elsewhere = |name: &str| {
         view.of(service).any(|(_, other)| {
-            let there = other.holds(now);
-            let copy = there.copy(name) != Copy::Store || there.model(name).is_some();
+            let there = other.inventory(now);
+            let copy = there.copy(name) != CopyLocation::Store || there.model(name).is_some();
             other.target.id != s.target.id && copy
         })
     };
-    let copies = holds.on_disk.iter().chain(&holds.in_memory);
-    let mut idle = copies.filter(|name| holds.model(name).is_none());
+    let copies = inventory.on_disk.iter().chain(&inventory.in_memory);
+    let mut idle = copies.filter(|name| inventory.model(name).is_none());
     idle.any(|name| !elsewhere(name))
 }
 
@@ -371,7 +374,7 @@
 /// What an engine's adapters cost while it loads, in milliseconds.
 fn blocked_ms(report: &Report, ready: Duration) -> f64 {
     let with_adapters = report
-        .holds
+        .inventory
         .models
         .iter()
         .filter(|h| !h.adapters.is_empty());
--- a/crates/stair-fleet/src/fetch.rs
+++ b/crates/stair-fleet/src/fetch.rs
@@ -12,7 +12,7 @@
         Model, //
     },
     target::{
-        Copy,
+        CopyLocation,
         Fetched, //
     },
     view::View, //
@@ -41,23 +41,27 @@
 
 /// Loads that are of use at once, at least one.
 pub fn at_once(view: &View, service: &str, engine: &Engine, now: Duration) -> usize {
-    let together = u32::try_from(under_way(view, service, now)).unwrap_or(u32::MAX);
+    let concurrent = u32::try_from(under_way(view, service, now)).unwrap_or(u32::MAX);
     let reports = || view.of(service).filter_map(|(_, s)| s.fresh_report(now));
     let late = reports()
         .filter_map(|r| r.load.loading.as_ref())
-        .filter(|l| l.from == Copy::Store)
+        .filter(|l| l.from == CopyLocation::Store)
         .map(|l| Fetched {
-            together,
-            times: l.times,
+            concurrent,
+            slowdown: l.slowdown,
         })
-        .filter(|f| f.times > SLOWED);
+        .filter(|f| f.slowdown > SLOWED);
     let ended = reports().filter_map(|r| r.load.fetched);
     let (slow, fast): (Vec<Fetched>, Vec<Fetched>) =
-        late.chain(ended).partition(|f| f.times > SLOWED);
-    let full_speed = |f: &Fetched| (f.together as f32 / f.times).round().max(1.0) as usize;
+        late.chain(ended).partition(|f| f.slowdown > SLOWED);
+    let full_speed = |f: &Fetched| (f.concurrent as f32 / f.slowdown).round().max(1.0) as usize;
     // One that ran alone was not slowed by others, whatever it took.
-    let slow = slow.iter().filter(|f| f.together > 1).map(full_speed);
-    let proven = fast.iter().map(|f| f.together as usize).max().unwrap_or(0);
+    let slow = slow.iter().filter(|f| f.concurrent > 1).map(full_speed);
+    let proven = fast
+        .iter()
+        .map(|f| f.concurrent as usize)
+        .max()
+        .unwrap_or(0);
     if let Some(n) = slow.min() {
         // Too low where others joined after a load had begun, which its agent cannot know.
         return n.max(proven);
@@ -90,7 +94,7 @@
 pub fn under_way(view: &View, service: &str, now: Duration) -> usize {
     view.of(service)
         .filter_map(|(_, s)| s.fresh_report(now)?.load.loading.as_ref())
-        .filter(|l| l.from == Copy::Store)
+        .filter(|l| l.from == CopyLocation::Store)
         .count()
 }
 
--- a/crates/stair-fleet/src/msg.rs
+++ b/crates/stair-fleet/src/msg.rs
@@ -19,7 +19,7 @@
         ToWatchlist, //
     },
     target::{
-        Holds,
+        Inventory,
         Load, //
     }, //
 };
@@ -131,7 +131,8 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum ToEntry {
     /// What the engine holds; sent first and when it changes.
-    Holds(Box<Holds>),
+    #[serde(rename = "Holds")]
+    Inventory(Box<Inventory>),
     /// The rest of what the agent knows of it; sent when it changes and as a heartbeat.
     Load(Box<Load>),
     /// The answer to a [`LoadRequest`].
--- a/crates/stair-fleet/src/prefetch.rs
+++ b/crates/stair-fleet/src/prefetch.rs
@@ -11,7 +11,7 @@
     catalogue::Engine,
     cold_start, fetch,
     target::{
-        Copy,
+        CopyLocation,
         Report, //
     },
     target_state::TargetState,
@@ -60,7 +60,7 @@
 ) -> Option<Outcome> {
     let at_work = |s: &TargetState| {
         s.fresh_report(now).is_none_or(|r| {
-            r.load.loading.is_some() || r.load.unloading || !r.load.to_load.is_zero()
+            r.load.loading.is_some() || r.load.unloading || !r.load.queued_load_time.is_zero()
         })
     };
     let mut left_alone: Vec<TargetKey> = asked.iter().map(|a| a.key).collect();
@@ -118,7 +118,7 @@
             .any(|a| a.key == key && *a.model == *model);
         asked
             || (s.is_available(self.now)
-                && (s.has(model, self.now) || s.is_loading(model, self.now)))
+                && (s.can_run(model, self.now) || s.is_loading(model, self.now)))
     }
 
     /// A further replica of a model whose replicas are crowded.
@@ -145,8 +145,8 @@
     fn store_loads(&self) -> usize {
         let reported = |a: &&Asked| !self.view.get(a.key).is_loading(&a.model, self.now);
         let from_store = |a: &&Asked| {
-            let holds = self.view.get(a.key).holds(self.now);
-            holds.copy(&a.model) == Copy::Store
+            let inventory = self.view.get(a.key).inventory(self.now);
+            inventory.copy(&a.model) == CopyLocation::Store
         };
         let asked = self.asked.iter().filter(reported).filter(from_store);
         fetch::under_way(self.view, self.service, self.now) + asked.count()
@@ -159,7 +159,7 @@
     /// Engines that hold the model or have a copy of it.
     fn copies(&self, model: &str) -> usize {
         let near = |(key, s): &(TargetKey, &TargetState)| {
-            let copy = s.holds(self.now).copy(model) != Copy::Store;
+            let copy = s.inventory(self.now).copy(model) != CopyLocation::Store;
             self.there(*key, s, model) || (copy && s.is_available(self.now))
         };
         self.view.of(self.service).filter(near).count()
@@ -220,7 +220,7 @@
                 return None;
             }
             let found = self.place(&m.name)?;
-            let cheap = found.place.victims.is_empty() && found.place.from != Copy::Store;
+            let cheap = found.place.victims.is_empty() && found.place.from != CopyLocation::Store;
             cheap.then_some(found)
         })
     }
@@ -249,7 +249,7 @@
                 return None;
             }
             let found = look.place(&m.name)?;
-            let further = found.place.victims.is_empty() && found.place.from == Copy::Store;
+            let further = found.place.victims.is_empty() && found.place.from == CopyLocation::Store;
             let engine = self.view.get(found.place.key);
             let last = cold_start::has_last_copy(self.view, self.service, engine, self.now);
             (further && !last).then_some(found)
--- a/crates/stair-fleet/src/quarantine/ledger.rs
+++ b/crates/stair-fleet/src/quarantine/ledger.rs
@@ -45,7 +45,8 @@
     /// Until when it is not run.
     held_until: Option<Duration>,
     /// How often it has been quarantined.
-    holds: usize,
+    #[serde(rename = "holds")]
+    quarantine_count: usize,
 }
 
 impl Ledger {
@@ -82,9 +83,9 @@
         if !guilty {
             return (!known).then(|| record.notice(now));
         }
-        let hold = HOLD_TIMES[record.holds.min(HOLD_TIMES.len() - 1)];
+        let hold = HOLD_TIMES[record.quarantine_count.min(HOLD_TIMES.len() - 1)];
         record.held_until = Some(now + hold);
-        record.holds += 1;
+        record.quarantine_count += 1;
         record.kept_blame = KEPT_BLAME;
         let notice = record.notice(now);
         self.crashes.explain(&run);
@@ -124,7 +125,7 @@
             return (!known).then_some(*notice);
         };
         record.held_until = record.held_until.max(Some(now + left));
-        record.holds = record.holds.max(1);
+        record.quarantine_count = record.quarantine_count.max(1);
         record.kept_blame = KEPT_BLAME;
         (!was_held).then_some(*notice)
     }
@@ -183,7 +184,7 @@
             kept_blame: 0,
             at: now,
             held_until: None,
-            holds: 0,
+            quarantine_count: 0,
         };
         self.records.insert(i, record);
         i
--- a/crates/stair-fleet/src/target.rs
+++ b/crates/stair-fleet/src/target.rs
@@ -30,12 +30,13 @@
     /// How much longer it is slow after its start.
     pub cold: Duration,
     /// What it holds, if it is a model engine.
-    pub holds: Holds,
+    #[serde(rename = "holds")]
+    pub inventory: Inventory,
 }
 
 impl Target {
     /// Whether two words of a target differ in nothing but what it holds.
-    pub fn is_same_but_for_holds(&self, other: &Self) -> bool {
+    pub fn eq_except_inventory(&self, other: &Self) -> bool {
         let Self {
             id,
             started,
@@ -45,7 +46,7 @@
             slots,
             state,
             cold,
-            holds: _,
+            inventory: _,
         } = self;
         *id == other.id
             && *started == other.started
@@ -69,9 +70,9 @@
 
 /// The models of an engine.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
-pub struct Holds {
+pub struct Inventory {
     /// Ready to run, sorted by name.
-    pub models: Vec<Held>,
+    pub models: Vec<LoadedModel>,
     /// Copies in host memory, sorted.
     pub in_memory: Vec<Box<str>>,
     /// Copies on disk, sorted.
@@ -80,7 +81,7 @@
 
 /// One model in an engine.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
-pub struct Held {
+pub struct LoadedModel {
     /// The model.
     pub name: Box<str>,
     /// Its adapters there, sorted.
@@ -89,7 +90,7 @@
 
 /// Where the fastest copy of a model lies for an engine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub enum Copy {
+pub enum CopyLocation {
     /// In host memory.
     Memory,
     /// On the engine's disk.
@@ -98,28 +99,28 @@
     Store,
 }
 
-impl Holds {
+impl Inventory {
     /// Finds a model that is ready to run.
-    pub fn model(&self, name: &str) -> Option<&Held> {
+    pub fn model(&self, name: &str) -> Option<&LoadedModel> {
         let i = self.models.binary_search_by(|m| (*m.name).cmp(name)).ok()?;
         Some(&self.models[i])
     }
 
     /// Tells where the fastest copy of a model lies.
-    pub fn copy(&self, name: &str) -> Copy {
+    pub fn copy(&self, name: &str) -> CopyLocation {
         let has = |list: &[Box<str>]| list.binary_search_by(|m| (**m).cmp(name)).is_ok();
         if has(&self.in_memory) {
-            Copy::Memory
+            CopyLocation::Memory
         } else if has(&self.on_disk) {
-            Copy::Disk
+            CopyLocation::Disk
         } else {
-            Copy::Store
+            CopyLocation::Store
         }
     }
 
     /// Whether a model is there, ready to run or as a copy.
     pub fn has_copy(&self, name: &str) -> bool {
-        self.model(name).is_some() || self.copy(name) != Copy::Store
+        self.model(name).is_some() || self.copy(name) != CopyLocation::Store
     }
 
     /// Puts all lists in the order that lookups rely on.
@@ -137,14 +138,15 @@
 #[derive(Debug, Clone, Default, PartialEq, Serialize)]
 pub struct Report {
     /// What it holds.
-    pub holds: Holds,
+    #[serde(rename = "holds")]
+    pub inventory: Inventory,
     /// The rest.
     pub load: Load,
 }
 
 /// What an engine's agent has read from it beside what it holds, and what it is doing to it.
 ///
-/// Apart from the lists in [`Holds`], which change seldom: fifty agents tell this to thirty entries
+/// Apart from the lists in [`Inventory`], which change seldom: fifty agents tell this to thirty entries
 /// several times a second.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct Load {
@@ -165,11 +167,13 @@
     /// What became of the last load from the weight store, for some time.
     pub fetched: Option<Fetched>,
     /// Time that the loads which are asked for and have not begun will take.
-    pub to_load: Duration,
+    #[serde(rename = "to_load")]
+    pub queued_load_time: Duration,
     /// Whether a model is being unloaded.
     pub unloading: bool,
     /// Models that are unloaded, or will be once their requests have ended; they get no new ones.
-    pub leaving: Vec<Box<str>>,
+    #[serde(rename = "leaving")]
+    pub draining: Vec<Box<str>>,
     /// Adapters that it could take now: free places and those that nothing uses.
     pub free_adapters: u32,
     /// Use of what it holds, by all entries, sorted by model.
@@ -193,20 +197,24 @@
     /// The model.
     pub model: Box<str>,
     /// Where it comes from.
-    pub from: Copy,
+    pub from: CopyLocation,
     /// Time until it is expected to be ready, when the report was made.
-    pub left: Duration,
+    #[serde(rename = "left")]
+    pub remaining: Duration,
     /// How many times the declared time it had taken by then.
-    pub times: f32,
+    #[serde(rename = "times")]
+    pub slowdown: f32,
 }
 
 /// A load from the weight store that has ended.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub struct Fetched {
     /// Loads that were under way when it began, itself among them.
-    pub together: u32,
+    #[serde(rename = "together")]
+    pub concurrent: u32,
     /// How many times the declared time it took.
-    pub times: f32,
+    #[serde(rename = "times")]
+    pub slowdown: f32,
 }
 
 /// How much a model is used at one engine.
@@ -219,7 +227,8 @@
     /// Requests a second lately.
     pub per_s: f32,
     /// Part of the engine's time that reading their prompts took lately; 1 is all of it.
-    pub work: f32,
+    #[serde(rename = "work")]
+    pub prefill_fraction: f32,
 }
 
 impl Load {
--- a/crates/stair-fleet/src/target_state.rs
+++ b/crates/stair-fleet/src/target_state.rs
@@ -6,7 +6,7 @@
 };
 
 use crate::target::{
-    Holds,
+    Inventory,
     Report,
     State,
     Target, //
@@ -60,7 +60,7 @@
     /// Time to the answer's head or first event lately beyond what was expected, in milliseconds.
     pub delay_ms: f64,
     /// What it held when it left without a word, and when its agent last spoke.
-    pub(crate) last_inventory: Option<(Holds, Duration)>,
+    pub(crate) last_inventory: Option<(Inventory, Duration)>,
     /// Whether its service is declared. An announcement of another one was written by a stranger, and
     /// its address can be that of a sound target.
     pub(crate) declared: bool,
@@ -103,7 +103,7 @@
             slots: 0,
             state: State::Draining(None),
             cold: Duration::ZERO,
-            holds: Holds::default(),
+            inventory: Inventory::default(),
         };
         Self {
             listed: false,
@@ -135,18 +135,18 @@
     }
 
     /// Returns what the target holds, by the report if it is fresh, else by the list.
-    pub fn holds(&self, now: Duration) -> &Holds {
+    pub fn inventory(&self, now: Duration) -> &Inventory {
         match self.fresh_report(now) {
-            Some(report) if report.load.alive => &report.holds,
-            _ => &self.target.holds,
+            Some(report) if report.load.alive => &report.inventory,
+            _ => &self.target.inventory,
         }
     }
 
     /// Whether the model can run there now, and is not about to be dropped.
-    pub fn has(&self, model: &str, now: Duration) -> bool {
+    pub fn can_run(&self, model: &str, now: Duration) -> bool {
         let report = self.fresh_report(now);
-        let leaving = report.is_some_and(|r| r.load.leaving.iter().any(|m| **m == *model));
-        !leaving && self.holds(now).model(model).is_some()
+        let leaving = report.is_some_and(|r| r.load.draining.iter().any(|m| **m == *model));
+        !leaving && self.inventory(now).model(model).is_some()
     }
 
     /// Whether the model is being loaded there.
@@ -158,11 +158,11 @@
     /// Notes that the target has said it does not hold a model, ahead of the report that says so.
     pub fn mark_not_loaded(&mut self, model: &str) {
         let lists = [
-            Some(&mut self.target.holds),
-            self.report.as_mut().map(|(r, _)| &mut r.holds),
+            Some(&mut self.target.inventory),
+            self.report.as_mut().map(|(r, _)| &mut r.inventory),
         ];
-        for holds in lists.into_iter().flatten() {
-            holds.models.retain(|h| *h.name != *model);
+        for inventory in lists.into_iter().flatten() {
+            inventory.models.retain(|h| *h.name != *model);
         }
     }
 
@@ -191,17 +191,17 @@
         self.listed = false;
         let report = self.report.take();
         if self.target.state == State::Ready {
-            self.last_inventory = report.map(|(r, at)| (r.holds, at));
+            self.last_inventory = report.map(|(r, at)| (r.inventory, at));
         }
     }
 
     /// Whether it is down with a copy of a model, so that the model may soon be there again.
     pub(crate) fn is_down_with_copy(&self, model: &str, now: Duration) -> bool {
-        let holds = match &self.report {
-            Some((report, _)) => &report.holds,
-            None => &self.target.holds,
+        let inventory = match &self.report {
+            Some((report, _)) => &report.inventory,
+            None => &self.target.inventory,
         };
-        self.target.state == State::Ready && !self.is_available(now) && holds.has_copy(model)
+        self.target.state == State::Ready && !self.is_available(now) && inventory.has_copy(model)
     }
 
     /// Takes in that its agent has said something.
--- a/crates/stair-fleet/src/view.rs
+++ b/crates/stair-fleet/src/view.rs
@@ -15,7 +15,7 @@
 
 use crate::{
     target::{
-        Holds,
+        Inventory,
         Load,
         Report,
         State,
@@ -234,9 +234,9 @@
             .filter(|s| *s.target.service == *service);
         let mut down = of_service.filter(|s| match &s.last_inventory {
             _ if s.listed => s.declared && s.is_down_with_copy(model, now),
-            Some((holds, at)) => {
+            Some((inventory, at)) => {
                 let lately = now.saturating_sub(*at) < within;
-                lately && holds.has_copy(model) && !self.has_fresh_report_at(s.target.addr, now)
+                lately && inventory.has_copy(model) && !self.has_fresh_report_at(s.target.addr, now)
             }
             None => false,
         });
@@ -263,9 +263,9 @@
     }
 
     /// Takes in what the agent at an address says that its engine holds.
-    pub fn set_inventory_at(&mut self, addr: SocketAddr, holds: Holds, now: Duration) {
+    pub fn set_inventory_at(&mut self, addr: SocketAddr, inventory: Inventory, now: Duration) {
         if let Some(report) = self.report_at(addr, now) {
-            report.holds = holds;
+            report.inventory = inventory;
         }
     }
 
--- a/crates/stair-fleet/tests/balance.rs
+++ b/crates/stair-fleet/tests/balance.rs
@@ -7,7 +7,7 @@
     balance,
     cold_start,
     target::{
-        Copy,
+        CopyLocation,
         Report, //
     },
     view::TargetKey, //
@@ -50,7 +50,10 @@
         report(&[], &["b", "c"]),
     ]);
     let (model, at) = next(&view).expect("a load");
-    assert_eq!((&*model, at.key, at.from), ("b", keys[2], Copy::Disk));
+    assert_eq!(
+        (&*model, at.key, at.from),
+        ("b", keys[2], CopyLocation::Disk)
+    );
 }
 
 /// A load from the weight store is made when no copy helps, at the engine with the least to do.
@@ -62,7 +65,10 @@
         report(&["c"], &["c"]),
     ]);
     let (model, at) = next(&view).expect("a load");
-    assert_eq!((&*model, at.key, at.from), ("a", keys[2], Copy::Store));
+    assert_eq!(
+        (&*model, at.key, at.from),
+        ("a", keys[2], CopyLocation::Store)
+    );
     assert_eq!(find(&view, false), None);
 }
 
@@ -152,9 +158,9 @@
     let mut loading = report(&[], &["a"]);
     loading.load.loading = Some(stair_fleet::target::Loading {
         model: "a".into(),
-        from: Copy::Disk,
-        left: support::ms(500),
-        times: 0.0,
+        from: CopyLocation::Disk,
+        remaining: support::ms(500),
+        slowdown: 0.0,
     });
     tell(&mut view, 1, loading);
     assert_eq!(next(&view), None);
@@ -166,7 +172,7 @@
 #[test]
 fn light_work_stays() {
     let mut busy = used(report(&["a"], &["a"]), "a", 20.0, 20);
-    busy.load.usage[0].work = 0.1;
+    busy.load.usage[0].prefill_fraction = 0.1;
     let rare = used(used(report(&["b", "c"], &["a"]), "b", 0.6, 0), "c", 0.6, 0);
     let (view, _) = fleet(vec![busy, rare]);
     assert_eq!(next(&view), None);
--- a/crates/stair-fleet/tests/choose.rs
+++ b/crates/stair-fleet/tests/choose.rs
@@ -10,7 +10,7 @@
         choose, //
     },
     target::{
-        Held,
+        LoadedModel,
         Loading,
         State, //
     },
@@ -92,7 +92,7 @@
 fn without_an_agent() {
     let (mut view, keys) = fleet(vec![report(&["a"], &[])]);
     let mut announced = view.get(keys[0]).target.clone();
-    announced.holds = support::holds(&["a"], &[]);
+    announced.inventory = support::inventory(&["a"], &[]);
     view.put(announced, NOW);
     let later = NOW + Duration::from_secs(10);
     assert_eq!(choose(&view, &ask("a"), later).expect("one").key, keys[0]);
@@ -141,9 +141,9 @@
     let mut loading = report(&["a"], &[]);
     loading.load.loading = Some(Loading {
         model: "b".into(),
-        from: stair_fleet::target::Copy::Store,
-        left: ms(5000),
-        times: 0.0,
+        from: stair_fleet::target::CopyLocation::Store,
+        remaining: ms(5000),
+        slowdown: 0.0,
     });
     let mut other = report(&["a"], &[]);
     other.load.backlog = ms(300);
@@ -155,7 +155,7 @@
     assert_eq!(choose(&view, &opts, NOW).expect("one").key, keys[1]);
     assert_eq!(choose(&view, &ask("a"), NOW).expect("one").key, keys[0]);
     let (report, _) = view.get_mut(keys[0]).report.as_mut().expect("reported");
-    report.holds.models = vec![Held {
+    report.inventory.models = vec![LoadedModel {
         name: "a".into(),
         adapters: vec!["a1".into()],
     }];
--- a/crates/stair-fleet/tests/cold_start.rs
+++ b/crates/stair-fleet/tests/cold_start.rs
@@ -14,7 +14,7 @@
     },
     prefetch,
     target::{
-        Copy,
+        CopyLocation,
         Loading, //
     },
 };
@@ -38,7 +38,7 @@
         report(&["b", "c"], &["a"]),
     ]);
     let at = choose(&view, SERVICE, &engine(), "a", &[], NOW).expect("a place");
-    assert_eq!((at.key, at.from), (keys[1], Copy::Disk));
+    assert_eq!((at.key, at.from), (keys[1], CopyLocation::Disk));
     assert!(at.victims.is_empty());
 }
 
@@ -106,9 +106,9 @@
     let mut loading = report(&["b"], &["a"]);
     loading.load.loading = Some(Loading {
         model: "a".into(),
-        from: Copy::Disk,
-        left: ms(300),
-        times: 0.0,
+        from: CopyLocation::Disk,
+        remaining: ms(300),
+        slowdown: 0.0,
     });
     let (view, keys) = fleet(vec![report(&[], &["a"]), loading]);
     let at = choose(&view, SERVICE, &engine(), "a", &[], NOW).expect("a place");
@@ -153,7 +153,7 @@
         model, place: at, ..
     } = prefetch::next(&view, SERVICE, &engine(), &[], NOW).expect("a load");
     // "f" has no copy anywhere and comes first, from the weight store.
-    assert_eq!((&*model, at.from), ("f", Copy::Store));
+    assert_eq!((&*model, at.from), ("f", CopyLocation::Store));
     let known = fleet(vec![
         report(&["b"], &["a", "b", "f"]),
         report(&["c", "d"], &["e"]),
@@ -183,7 +183,10 @@
     let prefetch::Outcome {
         model, place: at, ..
     } = prefetch::next(&view, SERVICE, &engine(), &[], NOW).expect("a load");
-    assert_eq!((&*model, at.key, at.from), ("a", keys[1], Copy::Disk));
+    assert_eq!(
+        (&*model, at.key, at.from),
+        ("a", keys[1], CopyLocation::Disk)
+    );
 }
 
 /// A fleet comes back empty and the first replica of a busy model gets all of its requests. Before,
@@ -215,12 +218,12 @@
 #[test]
 fn not_behind_an_unload() {
     let mut unloading = report(&["a"], &["a"]);
-    unloading.holds.in_memory = vec!["a".into()];
+    unloading.inventory.in_memory = vec!["a".into()];
     unloading.load.unloading = true;
-    unloading.load.leaving = vec!["a".into()];
+    unloading.load.draining = vec!["a".into()];
     let (view, keys) = fleet(vec![unloading, report(&["b"], &["a"])]);
     let at = choose(&view, SERVICE, &engine(), "a", &[], NOW).expect("a place");
-    assert_eq!((at.key, at.from), (keys[1], Copy::Disk));
+    assert_eq!((at.key, at.from), (keys[1], CopyLocation::Disk));
 }
 
 /// Engines are lost with the only copies of two rare models while another model crowds its replica.
@@ -236,10 +239,13 @@
     let prefetch::Outcome {
         model, place: at, ..
     } = prefetch::next(&view, SERVICE, &engine(), &[], NOW).expect("a load");
-    assert_eq!((&*model, at.key, at.from), ("a", keys[1], Copy::Store));
+    assert_eq!(
+        (&*model, at.key, at.from),
+        ("a", keys[1], CopyLocation::Store)
+    );
     let asked = prefetch::Asked { key: at.key, model };
     let then = prefetch::next(&view, SERVICE, &engine(), &[asked], NOW);
-    let fetched = then.filter(|o| o.place.from == Copy::Store);
+    let fetched = then.filter(|o| o.place.from == CopyLocation::Store);
     assert_eq!(fetched, None, "the one engine is asked, the other is busy");
 }
 
@@ -255,7 +261,7 @@
     let prefetch::Outcome {
         model, place: at, ..
     } = prefetch::next(&view, SERVICE, &engine(), &[], NOW).expect("a load");
-    assert_eq!((&*model, at.from), ("f", Copy::Store));
+    assert_eq!((&*model, at.from), ("f", CopyLocation::Store));
     let asked = prefetch::Asked { key: at.key, model };
     let then = prefetch::next(&view, SERVICE, &engine(), &[asked], NOW);
     let again = then.filter(|o| *o.model == *"f");
@@ -286,7 +292,10 @@
     let prefetch::Outcome {
         model, place: at, ..
     } = prefetch::next(&view, SERVICE, &engine(), &[], NOW).expect("a load");
-    assert_eq!((&*model, at.key, at.from), ("f", keys[3], Copy::Store));
+    assert_eq!(
+        (&*model, at.key, at.from),
+        ("f", keys[3], CopyLocation::Store)
+    );
 }
 
 /// All VMs come back after a power cut. One engine's agent has been heard, the other, whose disk has
@@ -299,16 +308,16 @@
     for n in 0..2 {
         view.drop_report_at(support::addr(n));
     }
-    view.set_inventory_at(support::addr(0), support::holds(&[], &[]), young);
+    view.set_inventory_at(support::addr(0), support::inventory(&[], &[]), young);
     view.set_load_at(support::addr(0), report(&[], &[]).load, young);
     let found = find(&view, SERVICE, &engine(), "a", &[], young);
     assert_eq!(found, Err(Error::Unheard));
     assert_eq!(prefetch::next(&view, SERVICE, &engine(), &[], young), None);
     let older = ms(2600);
     let found = find(&view, SERVICE, &engine(), "a", &[], older).expect("a place");
-    assert_eq!((found.key, found.from), (keys[0], Copy::Store));
-    view.set_inventory_at(support::addr(1), support::holds(&[], &["a"]), young);
+    assert_eq!((found.key, found.from), (keys[0], CopyLocation::Store));
+    view.set_inventory_at(support::addr(1), support::inventory(&[], &["a"]), young);
     view.set_load_at(support::addr(1), report(&[], &[]).load, young);
     let found = find(&view, SERVICE, &engine(), "a", &[], young).expect("a place");
-    assert_eq!((found.key, found.from), (keys[1], Copy::Disk));
+    assert_eq!((found.key, found.from), (keys[1], CopyLocation::Disk));
 }
--- a/crates/stair-fleet/tests/fetch.rs
+++ b/crates/stair-fleet/tests/fetch.rs
@@ -44,7 +44,10 @@
 
 fn fetched(together: u32, times: f32) -> Report {
     let mut report = report(&["a"], &["a"]);
-    report.load.fetched = Some(Fetched { together, times });
+    report.load.fetched = Some(Fetched {
+        concurrent: together,
+        slowdown: times,
+    });
     report
 }
 
--- a/crates/stair-fleet/tests/prefetch.rs
+++ b/crates/stair-fleet/tests/prefetch.rs
@@ -5,7 +5,7 @@
 use stair_fleet::{
     prefetch,
     target::{
-        Copy,
+        CopyLocation,
         Demand,
         Report, //
     },
@@ -39,7 +39,7 @@
     ]);
     let next = prefetch::next(&view, SERVICE, &engine(), &[], NOW).expect("a load");
     assert_eq!(&*next.model, "e");
-    assert_eq!(next.place.from, Copy::Store);
+    assert_eq!(next.place.from, CopyLocation::Store);
 }
 
 #[test]
@@ -52,7 +52,7 @@
         fetching("a", ms(5000), 0.1),
     ]);
     let next = prefetch::next(&view, SERVICE, &engine(), &[], NOW);
-    assert!(next.is_none_or(|n| n.place.from != Copy::Store));
+    assert!(next.is_none_or(|n| n.place.from != CopyLocation::Store));
 }
 
 /// Guards against a load of ten seconds for a model whose engine is back in two.
--- a/crates/stair-fleet/tests/support/mod.rs
+++ b/crates/stair-fleet/tests/support/mod.rs
@@ -15,10 +15,10 @@
     },
     choose,
     target::{
-        Copy,
-        Held,
-        Holds,
+        CopyLocation,
+        Inventory,
         Load,
+        LoadedModel,
         Loading,
         Report,
         State,
@@ -72,28 +72,28 @@
         slots: 64,
         state: State::Ready,
         cold: Duration::ZERO,
-        holds: Holds::default(),
+        inventory: Inventory::default(),
     }
 }
 
-pub(crate) fn holds(models: &[&str], on_disk: &[&str]) -> Holds {
-    let held = |m: &&str| Held {
+pub(crate) fn inventory(models: &[&str], on_disk: &[&str]) -> Inventory {
+    let held = |m: &&str| LoadedModel {
         name: (**m).into(),
         adapters: Vec::new(),
     };
-    let mut holds = Holds {
+    let mut inventory = Inventory {
         models: models.iter().map(held).collect(),
         in_memory: Vec::new(),
         on_disk: on_disk.iter().map(|m| (**m).into()).collect(),
     };
-    holds.sort();
-    holds
+    inventory.sort();
+    inventory
 }
 
 /// A report of an idle engine that holds these models and has those on its disk.
 pub(crate) fn report(models: &[&str], on_disk: &[&str]) -> Report {
     Report {
-        holds: holds(models, on_disk),
+        inventory: inventory(models, on_disk),
         load: Load {
             alive: true,
             total_tokens: 250_000,
@@ -105,13 +105,13 @@
 
 /// A report of an engine that has nothing but a load from the weight store under way, which has
 /// taken so many times its declared time.
-pub(crate) fn fetching(model: &str, left: Duration, times: f32) -> Report {
+pub(crate) fn fetching(model: &str, remaining: Duration, slowdown: f32) -> Report {
     let mut report = report(&[], &[]);
     report.load.loading = Some(Loading {
         model: model.into(),
-        from: Copy::Store,
-        left,
-        times,
+        from: CopyLocation::Store,
+        remaining,
+        slowdown,
     });
     report
 }
@@ -124,7 +124,7 @@
         model: model.into(),
         in_flight,
         per_s,
-        work: per_s * PROMPT_WORK,
+        prefill_fraction: per_s * PROMPT_WORK,
     });
     report.load.usage.sort_by(|a, b| a.model.cmp(&b.model));
     report
@@ -147,7 +147,7 @@
 
 /// Tells the view what the agent of an engine reports.
 pub(crate) fn tell(view: &mut View, n: usize, report: Report) {
-    view.set_inventory_at(addr(n), report.holds, NOW);
+    view.set_inventory_at(addr(n), report.inventory, NOW);
     view.set_load_at(addr(n), report.load, NOW);
 }
 
--- a/crates/stair-fleet/tests/view.rs
+++ b/crates/stair-fleet/tests/view.rs
@@ -79,11 +79,11 @@
 #[test]
 fn lacks_a_model() {
     let (mut view, keys) = fleet(vec![report(&["a"], &[])]);
-    assert!(view.get(keys[0]).has("a", NOW));
+    assert!(view.get(keys[0]).can_run("a", NOW));
     view.get_mut(keys[0]).mark_not_loaded("a");
-    assert!(!view.get(keys[0]).has("a", NOW));
+    assert!(!view.get(keys[0]).can_run("a", NOW));
     tell(&mut view, 0, report(&["a"], &[]));
-    assert!(view.get(keys[0]).has("a", NOW));
+    assert!(view.get(keys[0]).can_run("a", NOW));
 }
 
 /// A process sees thousands of replacements; slots of targets that are gone are used again.
@@ -159,7 +159,7 @@
     let (key, here) = view.at(addr(0)).expect("one is there");
     assert_eq!((&*here.target.id, here.report.is_none()), ("next", true));
     tell(&mut view, 0, report(&["b"], &[]));
-    assert!(view.get(key).has("b", NOW));
+    assert!(view.get(key).can_run("b", NOW));
     assert_eq!(view.of(SERVICE).count(), 1);
 }
 
@@ -171,8 +171,8 @@
     next.id = "next".into();
     let key = view.put(next, NOW).expect("a newer word");
     tell(&mut view, 0, report(&["b"], &[]));
-    assert!(view.get(key).has("b", NOW));
-    assert!(view.get(keys[0]).has("a", NOW));
+    assert!(view.get(key).can_run("b", NOW));
+    assert!(view.get(keys[0]).can_run("a", NOW));
     view.remove(&target(0, SERVICE).id);
     assert_eq!(view.at(addr(0)).map(|(k, _)| k), Some(key));
 }
--- a/crates/stair-relay/src/change.rs
+++ b/crates/stair-relay/src/change.rs
@@ -51,7 +51,7 @@
         };
         let known = view.all().find(|(_, s)| s.target.id == new.id);
         let holds_alone = known
-            .is_some_and(|(_, s)| s.missing_until.is_none() && s.target.is_same_but_for_holds(new));
+            .is_some_and(|(_, s)| s.missing_until.is_none() && s.target.eq_except_inventory(new));
         match holds_alone {
             true => Weight::Minor,
             false => Weight::Major,
--- a/crates/stair-relay/src/links.rs
+++ b/crates/stair-relay/src/links.rs
@@ -245,8 +245,8 @@
         let now = cx.now();
         cx.state().view.record_message_at(engine, now);
         match msg {
-            ToEntry::Holds(holds) => {
-                cx.state().view.set_inventory_at(engine, *holds, now);
+            ToEntry::Inventory(inventory) => {
+                cx.state().view.set_inventory_at(engine, *inventory, now);
             }
             ToEntry::Load(load) => {
                 cx.state().view.set_load_at(engine, *load, now);
--- a/crates/stair-relay/src/load.rs
+++ b/crates/stair-relay/src/load.rs
@@ -14,8 +14,8 @@
         LoadRequest, //
     },
     target::{
-        Copy,
-        Held,
+        CopyLocation,
+        LoadedModel,
         Loading, //
     },
     view::TargetKey,
@@ -108,7 +108,8 @@
     let begun = Instant::now();
     let late = begun + at.ready_in + RUN_TIME > until;
     // A load that comes too late for this request anyway keeps the weight store from others.
-    if late && at.from == Copy::Store && begun < held_until && outage::is_expected(cx, job) {
+    if late && at.from == CopyLocation::Store && begun < held_until && outage::is_expected(cx, job)
+    {
         return Loaded::Down;
     }
     let waits = until.saturating_duration_since(begun);
@@ -220,7 +221,7 @@
         model: model.into(),
         adapter: None,
         victims: at.victims.clone(),
-        fetch: (at.from == Copy::Store).then_some(together),
+        fetch: (at.from == CopyLocation::Store).then_some(together),
         prefetch,
         of_use,
     };
@@ -234,8 +235,8 @@
         report.load.loading = Some(Loading {
             model: model.into(),
             from: at.from,
-            left: at.ready_in,
-            times: 0.0,
+            remaining: at.ready_in,
+            slowdown: 0.0,
         });
     }
     Some(pending)
@@ -255,11 +256,11 @@
 }
 
 /// The label of a copy in metrics.
-fn source(from: Copy) -> &'static str {
+fn source(from: CopyLocation) -> &'static str {
     match from {
-        Copy::Memory => "memory",
-        Copy::Disk => "disk",
-        Copy::Store => "store",
+        CopyLocation::Memory => "memory",
+        CopyLocation::Disk => "disk",
+        CopyLocation::Store => "store",
     }
 }
 
@@ -267,12 +268,12 @@
 fn settled(cx: &Context, model: &str, key: TargetKey) {
     let mut state = cx.state();
     if let Some((report, _)) = &mut state.view.get_mut(key).report {
-        if report.holds.model(model).is_none() {
-            report.holds.models.push(Held {
+        if report.inventory.model(model).is_none() {
+            report.inventory.models.push(LoadedModel {
                 name: model.into(),
                 adapters: Vec::new(),
             });
-            report.holds.sort();
+            report.inventory.sort();
         }
         report.load.loading = None;
     }
--- a/crates/stair-relay/src/pick.rs
+++ b/crates/stair-relay/src/pick.rs
@@ -17,7 +17,7 @@
         decide,
         is_fast, //
     },
-    target::Copy,
+    target::CopyLocation,
     view::TargetKey,
 };
 use stair_telemetry::event::Line;
@@ -298,7 +298,7 @@
     let state = cx.state();
     let now = cx.now();
     let at = cold_start::choose(&state.view, &job.service, engine, model, left_out, now)?;
-    (at.from != Copy::Store).then_some(at)
+    (at.from != CopyLocation::Store).then_some(at)
 }
 
 pub(crate) fn ready(
@@ -375,7 +375,7 @@
     let addr = {
         let state = cx.state();
         let seen = state.view.get(key);
-        let held = seen.holds(cx.now()).model(model);
+        let held = seen.inventory(cx.now()).model(model);
         if held.is_some_and(|h| h.adapters.contains(adapter)) {
             return true;
         }
--- a/crates/stair-sidecar/src/controller.rs
+++ b/crates/stair-sidecar/src/controller.rs
@@ -21,7 +21,7 @@
         Used,
     },
     target::{
-        Copy,
+        CopyLocation,
         Fetched, //
     },
 };
@@ -82,7 +82,7 @@
 struct Doing {
     load: bool,
     model: Box<str>,
-    from: Copy,
+    from: CopyLocation,
     since: Duration,
     until: Duration,
     /// Loads from the weight store that run together with it, itself among them.
@@ -231,11 +231,11 @@
         if !reading.busy
             && let Some(doing) = self.doing.take()
         {
-            let fetches = doing.load && doing.from == Copy::Store;
+            let fetches = doing.load && doing.from == CopyLocation::Store;
             if fetches && reading.holds.model(&doing.model).is_some() {
                 let fetched = Fetched {
-                    together: doing.together,
-                    times: self.times(&doing, now),
+                    concurrent: doing.together,
+                    slowdown: self.times(&doing, now),
                 };
                 self.fetched = Some((fetched, now));
             }
@@ -316,7 +316,7 @@
         match reply {
             Some(Reply::Accepted) if step.adapter.is_none() => {
                 let from = self.copy(&step.model);
-                if step.load && from == Copy::Store {
+                if step.load && from == CopyLocation::Store {
                     self.fetch_began = Some(now);
                 }
                 let mut asked = self
@@ -398,7 +398,7 @@
         }
         if p.req.fetch.is_none()
             && !self.holds(&p.req.model)
-            && self.copy(&p.req.model) == Copy::Store
+            && self.copy(&p.req.model) == CopyLocation::Store
         {
             return Some(Outcome::StoreBusy);
         }
@@ -429,12 +429,12 @@
         doing.is_some_and(|d| d.load && *d.model == *model)
     }
 
-    fn copy(&self, model: &str) -> Copy {
+    fn copy(&self, model: &str) -> CopyLocation {
         let reading = self.reading.as_ref();
-        reading.map_or(Copy::Store, |r| r.holds.copy(model))
+        reading.map_or(CopyLocation::Store, |r| r.holds.copy(model))
     }
 
-    fn load_time(&self, model: &str, from: Copy) -> Duration {
+    fn load_time(&self, model: &str, from: CopyLocation) -> Duration {
         let decl = self.decl.as_ref().and_then(|d| d.model(model));
         decl.map_or(Duration::ZERO, |m| m.load_time(from))
     }
--- a/crates/stair-sidecar/src/controller/plan.rs
+++ b/crates/stair-sidecar/src/controller/plan.rs
@@ -4,7 +4,7 @@
 
 use stair_fleet::{
     msg::Outcome,
-    target::Copy, //
+    target::CopyLocation, //
 };
 
 use super::{
@@ -35,7 +35,7 @@
     oldest: usize,
     /// Requests that wait for it.
     waiting: usize,
-    from: Copy,
+    from: CopyLocation,
     takes: Duration,
 }
 
@@ -120,7 +120,7 @@
             .fetch_began
             .is_none_or(|at| now.saturating_sub(at) >= self.opts.fetch_window);
         let mut models = self.absent();
-        models.retain(|a| may_fetch || a.from != Copy::Store);
+        models.retain(|a| may_fetch || a.from != CopyLocation::Store);
         models.sort_by(|a, b| {
             let older = || a.oldest.cmp(&b.oldest);
             b.gain().total_cmp(&a.gain()).then_with(older)
@@ -132,7 +132,7 @@
     /// weight store take turns after them, unless many requests wait for one.
     pub(super) fn to_load(&self) -> Duration {
         let absent = self.absent();
-        let near = absent.iter().filter(|a| a.from != Copy::Store);
+        let near = absent.iter().filter(|a| a.from != CopyLocation::Store);
         near.filter(|a| !self.loads(a.model)).map(|a| a.takes).sum()
     }
 
--- a/crates/stair-sidecar/src/controller/report.rs
+++ b/crates/stair-sidecar/src/controller/report.rs
@@ -5,7 +5,7 @@
 use stair_fleet::target::{
     Demand,
     Fetched,
-    Holds,
+    Inventory,
     Load,
     Loading,
     Usage, //
@@ -28,7 +28,7 @@
     }
 
     /// Returns what the engine holds.
-    pub fn held(&self) -> Holds {
+    pub fn held(&self) -> Inventory {
         let reading = self.reading.as_ref();
         reading.map(|r| r.holds.clone()).unwrap_or_default()
     }
@@ -41,8 +41,8 @@
         let loading = self.doing.as_ref().filter(|d| d.load).map(|d| Loading {
             model: d.model.clone(),
             from: d.from,
-            left: d.until.saturating_sub(now),
-            times: self.times(d, now),
+            remaining: d.until.saturating_sub(now),
+            slowdown: self.times(d, now),
         });
         let unloading = self.doing.as_ref().filter(|d| !d.load).map(|d| &d.model);
         let mut leaving: Vec<Box<str>> = self.leaving.clone();
@@ -57,7 +57,7 @@
                 model: h.name.clone(),
                 in_flight: self.usage.in_flight(&h.name),
                 per_s: self.usage.rate(&h.name, now) as f32,
-                work: self.usage.work(&h.name, now) as f32,
+                prefill_fraction: self.usage.work(&h.name, now) as f32,
             })
             .filter(|u| u.in_flight > 0 || u.per_s > LEAST_PER_S)
             .collect();
@@ -71,9 +71,9 @@
             total_tokens: reading.total_tokens,
             loading,
             fetched: self.fetched(now),
-            to_load: self.to_load(),
+            queued_load_time: self.to_load(),
             unloading: unloading.is_some(),
-            leaving,
+            draining: leaving,
             free_adapters: self.free_adapters(),
             usage,
             unserved: self.unserved(now),
--- a/crates/stair-sidecar/src/process.rs
+++ b/crates/stair-sidecar/src/process.rs
@@ -29,7 +29,7 @@
     },
     prefill::Schedule,
     target::{
-        Holds,
+        Inventory,
         Load, //
     },
 };
@@ -206,7 +206,7 @@
     /// When an entry was asked for a newer declaration.
     asked_declared: Option<Instant>,
     misses: u32,
-    published_holds: Option<Holds>,
+    published_holds: Option<Inventory>,
     published_load: Option<(Load, Instant)>,
     page: Arc<Page>,
     ledgers: Ledgers,
--- a/crates/stair-sidecar/src/process/dump.rs
+++ b/crates/stair-sidecar/src/process/dump.rs
@@ -9,7 +9,7 @@
     prefill::Rate,
     quarantine,
     target::{
-        Holds,
+        Inventory,
         Load, //
     },
 };
@@ -32,7 +32,7 @@
     declared: u64,
     /// Readings that failed in a row.
     misses: u32,
-    holds: Holds,
+    holds: Inventory,
     load: Load,
     /// How fast the engine reads prompts, as far as they have told.
     rates: Vec<Rate>,
--- a/crates/stair-sidecar/src/process/publish.rs
+++ b/crates/stair-sidecar/src/process/publish.rs
@@ -10,7 +10,7 @@
         ToEntry, //
     },
     target::{
-        Holds,
+        Inventory,
         Load, //
     },
 };
@@ -89,15 +89,15 @@
             for gone in before.filter(|h| holds.model(&h.name).is_none()) {
                 self.prefills.unloaded(&gone.name);
             }
-            self.broadcast(&ToEntry::Holds(Box::new(holds.clone())));
+            self.broadcast(&ToEntry::Inventory(Box::new(holds.clone())));
             self.published_holds = Some(holds);
         }
         let load = self.load();
         if self.load_is_due(&load) {
-            let before = self.published_load.as_ref().map(|(l, _)| &l.leaving);
-            if before.is_some_and(|b| *b != load.leaving) {
+            let before = self.published_load.as_ref().map(|(l, _)| &l.draining);
+            if before.is_some_and(|b| *b != load.draining) {
                 Line::new("leaving")
-                    .text("models", &load.leaving.join(" "))
+                    .text("models", &load.draining.join(" "))
                     .write();
             }
             self.broadcast(&ToEntry::Load(Box::new(load.clone())));
@@ -119,7 +119,7 @@
         };
         let orders = |l: &Load| {
             let loading = l.loading.as_ref().map(|l| l.model.clone());
-            (l.alive, loading, l.leaving.clone(), l.to_load)
+            (l.alive, loading, l.draining.clone(), l.queued_load_time)
         };
         let work = |l: &Load| {
             (
@@ -141,7 +141,7 @@
         let Some(link) = self.links.iter().find(|l| l.key == key) else {
             return;
         };
-        let holds = ToEntry::Holds(Box::new(self.controller.held()));
+        let holds = ToEntry::Inventory(Box::new(self.controller.held()));
         let load = ToEntry::Load(Box::new(self.load()));
         let former = self.former.clone().map(ToEntry::Former);
         for msg in [holds, load].into_iter().chain(former) {
@@ -163,7 +163,7 @@
 }
 
 /// Says what the engine holds from now on.
-fn log_holds(holds: &Holds) {
+fn log_holds(holds: &Inventory) {
     let models = holds.models.iter().map(|h| match h.adapters.len() {
         0 => h.name.to_string(),
         _ => format!("{}+{}", h.name, h.adapters.join("+")),
--- a/crates/stair-sidecar/tests/controller.rs
+++ b/crates/stair-sidecar/tests/controller.rs
@@ -18,8 +18,8 @@
     },
     target::{
         Fetched,
-        Held,
-        Holds, //
+        Inventory, //
+        LoadedModel,
     },
 };
 use stair_sidecar::{
@@ -56,12 +56,12 @@
 }
 
 fn reading(sequence: u64, models: &[(&str, &[&str])]) -> Reading {
-    let held = |(name, adapters): &(&str, &[&str])| Held {
+    let held = |(name, adapters): &(&str, &[&str])| LoadedModel {
         name: (*name).into(),
         adapters: adapters.iter().map(|a| (*a).into()).collect(),
     };
     Reading {
-        holds: Holds {
+        holds: Inventory {
             models: models.iter().map(held).collect(),
             in_memory: Vec::new(),
             on_disk: ["a", "b", "c"].map(Into::into).to_vec(),
@@ -240,7 +240,7 @@
     ctl.request_load(asker(1), prefetch, ms(0));
     ctl.request_load(asker(2), req("c", None), ms(1));
     assert_eq!(next(&mut ctl, ms(1)), Some(step(true, "c", None, 1)));
-    assert_eq!(ctl.load(ms(1)).to_load, ms(1600));
+    assert_eq!(ctl.load(ms(1)).queued_load_time, ms(1600));
 }
 
 /// An entry's link is gone: nobody waits for its load requests, and its requests count no more.
@@ -304,13 +304,13 @@
 fn tells_how_long_a_fetch_took() {
     let mut ctl = fetching(Options::default());
     let load = ctl.load(ms(9000));
-    let times = load.loading.expect("under way").times;
+    let times = load.loading.expect("under way").slowdown;
     assert!((1.49..1.51).contains(&times), "{times}");
     assert_eq!(load.fetched, None);
     ctl.read(Some(reading(3, &[("d", &[])])), ms(12_000));
     let took = Fetched {
-        together: 3,
-        times: 2.0,
+        concurrent: 3,
+        slowdown: 2.0,
     };
     assert_eq!(ctl.load(ms(12_000)).fetched, Some(took));
     assert_eq!(ctl.load(ms(200_000)).fetched, None, "others use it too");
@@ -384,7 +384,7 @@
     ctl.request_load(asker(1), has_load_requests, ms(1000));
     assert_eq!(next(&mut ctl, ms(1000)), None);
     assert!(ctl.is_leaving("a") && !ctl.is_leaving("b"));
-    assert_eq!(ctl.load(ms(1000)).leaving, vec!["a".into()]);
+    assert_eq!(ctl.load(ms(1000)).draining, vec!["a".into()]);
     ctl.request_load(asker(2), req("b", Some("x")), ms(1010));
     assert_eq!(
         next(&mut ctl, ms(1010)),
--- a/crates/stair-sidecar/tests/load.rs
+++ b/crates/stair-sidecar/tests/load.rs
@@ -28,9 +28,9 @@
         Used,
     },
     target::{
-        Copy,
-        Held,
-        Holds,
+        CopyLocation,
+        Inventory,
+        LoadedModel,
         State, //
     },
     view::TargetKey,
@@ -85,7 +85,7 @@
 /// One engine with its agent.
 struct Engine {
     controller: Controller,
-    holds: Holds,
+    holds: Inventory,
     sequence: u64,
     doing: Option<(Step, Duration)>,
     /// Model, entry, and end of each stream.
@@ -96,12 +96,12 @@
 
 impl Engine {
     fn new(n: usize) -> Self {
-        let mut holds = Holds {
+        let mut holds = Inventory {
             on_disk: (0..30)
                 .filter(|m| (m + n).is_multiple_of(3))
                 .map(name)
                 .collect(),
-            ..Holds::default()
+            ..Inventory::default()
         };
         holds.sort();
         let mut controller = Controller::default();
@@ -126,7 +126,7 @@
         if let Some((step, _)) = done {
             self.holds.models.retain(|h| h.name != step.model);
             if step.load {
-                self.holds.models.push(Held {
+                self.holds.models.push(LoadedModel {
                     name: step.model,
                     adapters: Vec::new(),
                 });
@@ -234,7 +234,7 @@
             slots: 96,
             state: State::Ready,
             cold: Duration::ZERO,
-            holds: Holds::default(),
+            inventory: Inventory::default(),
         };
         let mut view = View::default();
         let put = |n| view.put(target(n), Duration::ZERO).expect("a newer word");
@@ -322,7 +322,7 @@
                         model: w.model.clone(),
                         adapter: None,
                         victims: at.victims,
-                        fetch: (at.from == Copy::Store).then_some(1),
+                        fetch: (at.from == CopyLocation::Store).then_some(1),
                         prefetch: false,
                         of_use: PATIENCE - (now - w.since),
                     };
--- a/crates/stair-sidecar/tests/random.rs
+++ b/crates/stair-sidecar/tests/random.rs
@@ -17,8 +17,8 @@
     },
     msg::LoadRequest,
     target::{
-        Held,
-        Holds, //
+        Inventory, //
+        LoadedModel,
     },
 };
 use stair_sidecar::{
@@ -84,7 +84,7 @@
 /// An engine that does what it is ordered to, also when that is its end.
 #[derive(Default)]
 struct Engine {
-    holds: Holds,
+    holds: Inventory,
     sequence: u64,
     doing: Option<Step>,
 }
@@ -103,10 +103,10 @@
     }
 
     fn finish(&mut self, step: &Step) {
-        let held = |h: &Held| h.name == step.model;
+        let held = |h: &LoadedModel| h.name == step.model;
         match (&step.adapter, step.load) {
             (None, true) => {
-                self.holds.models.push(Held {
+                self.holds.models.push(LoadedModel {
                     name: step.model.clone(),
                     adapters: Vec::new(),
                 });
