--- a/crates/stair-fleet/benches/workspaces.rs
+++ b/crates/stair-fleet/benches/workspaces.rs
@@ -11,13 +11,13 @@
 };
 
 use stair_fleet::{
-    allowance::{
-        Ask,
+    quota::{
         Ledger, //
+        Request,
     },
     workspace::{
-        Allowance,
         Declared,
+        Quota,
         Unit,
         Workspace,
         Workspaces, //
@@ -27,7 +27,7 @@
 
 const ROUNDS: u32 = 200_000;
 
-const ALLOWANCE: Allowance = Allowance {
+const ALLOWANCE: Quota = Quota {
     per_s: 29_000.0,
     burst: 29_000.0,
     unit: Unit::Tokens { plain: 200.0 },
@@ -42,7 +42,7 @@
         workspace: Workspace {
             name: format!("workspace-{n}").into(),
             rank: None,
-            allowance: Some(ALLOWANCE),
+            quota: Some(ALLOWANCE),
         },
         keys: vec![KeyDigest::of(key(n).as_bytes())],
     };
@@ -70,25 +70,25 @@
             black_box(workspaces.by_key(&KeyDigest::of(key.as_bytes())));
         });
         let mut ledger = Ledger::default();
-        let asks: Vec<Ask> = workspaces
+        let asks: Vec<Request> = workspaces
             .all()
             .iter()
-            .map(|w| Ask {
+            .map(|w| Request {
                 workspace: w.name.clone(),
                 version: 1,
-                allowance: ALLOWANCE,
+                quota: ALLOWANCE,
                 cost: 200.0,
-                limit: Duration::ZERO,
-                passed: false,
+                max_wait: Duration::ZERO,
+                admitted: false,
                 stand_in: false,
             })
             .collect();
-        for ask in &asks {
-            ledger.ask(ask, Duration::ZERO);
+        for request in &asks {
+            ledger.handle(request, Duration::ZERO);
         }
         let by_ask = each(|n| {
             let now = Duration::from_micros(n.into());
-            black_box(ledger.ask(&asks[(n % count) as usize], now));
+            black_box(ledger.handle(&asks[(n % count) as usize], now));
         });
         println!("{count:10}  {by_key:6.0}  {by_ask:12.0}");
     }
--- a/crates/stair-fleet/src/lib.rs
+++ b/crates/stair-fleet/src/lib.rs
@@ -3,7 +3,7 @@
 //! Pure state and decisions: no input or output, no clock, no threads. Time is passed in as a
 //! [`Duration`](std::time::Duration) since the start of the process.
 //!
-//! - [`allowance`]: what is left of a workspace's allowance.
+//! - [`quota`]: what is left of a workspace's allowance.
 //! - [`catalogue`]: routes, services and models that operators declare, and the choice of a route.
 //! - [`workspace`]: who a request is for, and what its workspace may ask for.
 //! - [`target`]: what a target announces, and what its agent reports of it.
@@ -25,7 +25,6 @@
 #![deny(missing_docs)]
 #![forbid(unsafe_code)]
 
-pub mod allowance;
 pub mod balance;
 pub mod budget;
 pub mod catalogue;
@@ -40,6 +39,7 @@
 pub mod prefetch;
 pub mod prefill;
 pub mod quarantine;
+pub mod quota;
 pub mod target;
 pub mod target_state;
 pub mod view;
--- a/crates/stair-fleet/src/msg.rs
+++ b/crates/stair-fleet/src/msg.rs
@@ -3,7 +3,10 @@
 //! The entry opens the connection. Each side sends one message a frame; the agent's first report
 //! answers the entry's hello.
 
-use std::time::Duration;
+use std::{
+    fmt,
+    time::Duration, //
+};
 
 use serde::{
     Deserialize,
@@ -11,13 +14,13 @@
 };
 
 use crate::{
-    allowance,
     catalogue::Engine,
     prefill,
     quarantine::{
         ToLedger,
         ToWatchlist, //
     },
+    quota,
     target::{
         Inventory,
         Load, //
@@ -29,23 +32,26 @@
 pub enum ToAgent {
     /// Who speaks, and how far its knowledge goes; sent first and when it changes.
     Hello(ReplicationState),
-    /// The answer to [`ToEntry::Declare`]: what the engine's service declares, with the version of the
+    /// The answer to [`ToEntry::DeclarationRequest`]: what the engine's service declares, with the version of the
     /// catalogue that says so.
-    Engine {
+    #[serde(rename = "Engine")]
+    Declaration {
         /// The catalogue's version.
         version: u64,
         /// The declaration.
         engine: Engine,
     },
     /// The present life of the engine beside the agent, and the store's revision that says so.
-    Instance {
+    #[serde(rename = "Instance")]
+    Incarnation {
         /// The engine's id.
         id: Box<str>,
         /// The store's revision.
         revision: u64,
     },
     /// A life that the engine has said it is not.
-    Former(Box<str>),
+    #[serde(rename = "Former")]
+    StaleIncarnation(Box<str>),
     /// Asks for a model or an adapter.
     LoadRequest(LoadRequest),
     /// Takes a [`LoadRequest`] back: nobody waits for it any more.
@@ -55,23 +61,28 @@
         /// Names the question on this connection.
         seq: u64,
         /// The prompt.
-        ask: prefill::Ask,
+        #[serde(rename = "ask")]
+        request: prefill::Request,
     },
     /// What the entry has sent to the engine since it last said so.
     Used(Vec<Used>),
     /// How long the prompts took whose first events came since it last said so.
-    Read(Vec<prefill::Read>),
+    #[serde(rename = "Read")]
+    PrefillTimes(Vec<prefill::Measurement>),
     /// Requests for a model were rejected since no engine could load it in time.
     Unserved(Box<str>),
     /// Asks for a part of a workspace's allowance.
-    Allow {
+    #[serde(rename = "Allow")]
+    QuotaRequest {
         /// Names the question on this connection.
         seq: u64,
         /// The request.
-        ask: allowance::Ask,
+        #[serde(rename = "ask")]
+        request: quota::Request,
     },
     /// Gives back what a request has cost that was not run.
-    GiveBack {
+    #[serde(rename = "GiveBack")]
+    QuotaRefund {
         /// The workspace.
         workspace: Box<str>,
         /// The units.
@@ -113,7 +124,8 @@
     /// Whether no request waits for it yet; such a request gives way to all others.
     pub prefetch: bool,
     /// Time after which it is of no use.
-    pub of_use: Duration,
+    #[serde(rename = "of_use")]
+    pub timeout: Duration,
 }
 
 /// Use of one model at one engine by one entry.
@@ -136,7 +148,8 @@
     /// The rest of what the agent knows of it; sent when it changes and as a heartbeat.
     Load(Box<Load>),
     /// The answer to a [`LoadRequest`].
-    Done {
+    #[serde(rename = "Done")]
+    LoadReply {
         /// The question.
         seq: u64,
         /// What came of it.
@@ -147,24 +160,29 @@
         /// The question.
         seq: u64,
         /// What came of it.
-        answer: prefill::Answer,
+        #[serde(rename = "answer")]
+        reply: prefill::Reply,
     },
-    /// The answer to a [`ToAgent::Allow`].
-    Allowed {
+    /// The answer to a [`ToAgent::QuotaRequest`].
+    #[serde(rename = "Allowed")]
+    QuotaReply {
         /// The question.
         seq: u64,
         /// What came of it.
-        answer: allowance::Answer,
+        #[serde(rename = "answer")]
+        reply: quota::Reply,
     },
     /// The last life that the engine has said it is not; all entries stop using it at once. After a
     /// power cut the store's list has the dead lives for some seconds, and each entry would find out
     /// by requests of its own, a few of which use up its share of the retries.
-    Former(Box<str>),
+    #[serde(rename = "Former")]
+    StaleIncarnation(Box<str>),
     /// What the entry needs to know of the others that this agent hears.
     Peers(Box<Peers>),
     /// Asks for what the engine's service declares. A declaration names every model; told by each entry to
     /// each agent, those of one change would take more than all else that they say in a minute.
-    Declare,
+    #[serde(rename = "Declare")]
+    DeclarationRequest,
     /// About requests that end the targets that run them.
     Quarantine(ToWatchlist),
 }
@@ -174,7 +192,8 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Peers {
     /// The least name among all entries, the one told among them.
-    pub least: Box<str>,
+    #[serde(rename = "least")]
+    pub least_name: Box<str>,
     /// Entries that the agent hears, the one told among them.
     pub entries: u32,
     /// The entry of the same data centre that watches the store for the others there: the one with the
@@ -196,20 +215,23 @@
 impl Peers {
     /// Picks what the entry `own` needs to know out of what all entries say; `all` has `own` too.
     pub fn of(own: &ReplicationState, all: &[ReplicationState]) -> Self {
-        let newest = all
+        let newest_catalogue = all
             .iter()
             .filter(|k| k.catalogue > own.catalogue)
             .max_by_key(|k| k.catalogue);
-        let freshest = all
+        let newest_targets = all
             .iter()
             .filter(|k| k.targets > own.targets)
             .max_by_key(|k| k.targets);
-        let mut newer: Vec<ReplicationState> =
-            newest.into_iter().chain(freshest).cloned().collect();
+        let mut newer: Vec<ReplicationState> = newest_catalogue
+            .into_iter()
+            .chain(newest_targets)
+            .cloned()
+            .collect();
         newer.dedup();
         Self {
             newer,
-            ..Fleet::of(all).peers(own)
+            ..EntrySet::of(all).peers(own)
         }
     }
 }
@@ -218,14 +240,14 @@
 ///
 /// Worked out once for all of them: by each for itself it would take the square of their number.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Fleet {
+pub struct EntrySet {
     least: Option<Box<str>>,
     entries: u32,
     /// The data centres with the entry that watches the store in each, sorted.
     watchers: Vec<(Box<str>, Peer)>,
 }
 
-impl Fleet {
+impl EntrySet {
     /// Takes in what all entries say.
     pub fn of(all: &[ReplicationState]) -> Self {
         let mut watchers: Vec<(Box<str>, Peer)> = Vec::new();
@@ -252,7 +274,7 @@
         let near = |(dc, _): &(Box<str>, Peer)| dc.cmp(&own.data_centre);
         let watcher = self.watchers.binary_search_by(near).ok();
         Peers {
-            least: self.least.clone().unwrap_or_else(|| own.entry.clone()),
+            least_name: self.least.clone().unwrap_or_else(|| own.entry.clone()),
             entries: self.entries,
             watcher: watcher.map(|i| self.watchers[i].1.clone()),
             newer: Vec::new(),
@@ -261,12 +283,13 @@
 }
 
 /// What came of a [`LoadRequest`].
-#[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
+#[derive(Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Outcome {
     /// The model, and the adapter if one was asked for, can run now.
     Ready,
     /// There is no room: what could make room is in use.
-    NoRoom,
+    #[serde(rename = "NoRoom")]
+    NoCapacity,
     /// A load from the weight store would be needed and is not allowed now.
     StoreBusy,
     /// The agent may not give orders now: it knows no declaration, fencing token or instance, or
@@ -275,3 +298,16 @@
     /// The engine refused or dropped the order.
     Failed,
 }
+
+/// The text is part of log lines, so it does not follow the names of the variants.
+impl fmt::Debug for Outcome {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        f.write_str(match self {
+            Self::Ready => "Ready",
+            Self::NoCapacity => "NoRoom",
+            Self::StoreBusy => "StoreBusy",
+            Self::NoControl => "NoControl",
+            Self::Failed => "Failed",
+        })
+    }
+}
--- a/crates/stair-fleet/src/prefill.rs
+++ b/crates/stair-fleet/src/prefill.rs
@@ -18,50 +18,50 @@
 };
 
 /// Prefill rate until samples have come, in prompt tokens a millisecond.
-const FIRST_RATE: f64 = 33.0;
+const INITIAL_RATE: f64 = 33.0;
 
 /// Bounds of a learned rate, in tokens a millisecond. Prompts admitted at a higher rate fill an engine with
 /// streams.
-const RATES: RangeInclusive<f64> = 10.0..=60.0;
+const RATE_BOUNDS: RangeInclusive<f64> = 10.0..=60.0;
 
 /// Bounds of one sample, as parts of the learned rate. A prompt in the cache that the agent does not know of reads
 /// in no time; a lost packet makes one look slow.
-const SAMPLES: RangeInclusive<f64> = 0.5..=1.2;
+const SAMPLE_BOUNDS: RangeInclusive<f64> = 0.5..=1.2;
 
 /// Weight of the newest sample in the rate.
-const RATE_SMOOTH: f64 = 0.15;
+const SAMPLE_WEIGHT: f64 = 0.15;
 
 /// Least prefill time of a sample: below it the time to the first event varies by other causes.
-const SAMPLE_TIME: Duration = Duration::from_millis(75);
+const MIN_SAMPLE_TIME: Duration = Duration::from_millis(75);
 
 /// Part by which the least time beside prefill grows with each prompt, so that lasting load shows.
-const FIRST_DRIFT: f64 = 0.001;
+const BASE_LATENCY_DRIFT: f64 = 0.001;
 
 /// Part of an engine's time that prefill may take in the long run. The rest is for the tokens of streams, so that
 /// they end.
-const READ_PART: f64 = 0.82;
+const PREFILL_FRACTION: f64 = 0.82;
 
 /// Part of the promised pause between events that one burst may take. The rest is for the event after it.
-const BURST_PART: f64 = 0.7;
+const BURST_FRACTION: f64 = 0.7;
 
 /// The promised pause where no route declares one.
-const USUAL_PAUSE: Duration = Duration::from_millis(600);
+const DEFAULT_PAUSE: Duration = Duration::from_millis(600);
 
 /// The least time between two bursts, in milliseconds.
-const LEAST_BREAK_MS: f64 = 60.0;
+const MIN_BREAK_MS: f64 = 60.0;
 
 /// Time to load a model from a copy at another engine, with the time to make room.
-const SWAP_TIME: Duration = Duration::from_millis(1000);
+const SWAP_DURATION: Duration = Duration::from_millis(1000);
 
 /// Part of the engine's memory that the prefix cache is assumed to have.
-const KEPT_PART: f64 = 0.6;
+const CACHE_FRACTION: f64 = 0.6;
 
 /// Cost of a prompt beside its tokens, in tokens.
-const EACH_TOKENS: f64 = 150.0;
+const PROMPT_OVERHEAD_TOKENS: f64 = 150.0;
 
 /// A prompt up to the end of one of its parts.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Part {
+pub struct PrefixBlock {
     /// Names everything from the beginning up to here, the model and adapter among it.
     pub chain: u64,
     /// Tokens of this part.
@@ -70,17 +70,20 @@
 
 /// A prompt that asks for its slot.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Ask {
+pub struct Request {
     /// The model.
     pub model: Box<str>,
     /// The parts of the prompt in order.
-    pub parts: Vec<Part>,
+    #[serde(rename = "parts")]
+    pub blocks: Vec<PrefixBlock>,
     /// Tokens of the whole prompt.
     pub tokens: u32,
     /// The longest wait that is of use.
-    pub limit: Duration,
+    #[serde(rename = "limit")]
+    pub max_wait: Duration,
     /// The longest wait that a more urgent prompt right after it could bear, if there are any.
-    pub spare: Option<Duration>,
+    #[serde(rename = "spare")]
+    pub urgent_max_wait: Option<Duration>,
     /// The shortest pause between events that clients of the engine's streams are promised.
     pub pause: Option<Duration>,
     /// Whether the request has not asked for a slot before.
@@ -89,47 +92,51 @@
 
 /// What came of it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Answer {
+pub struct Reply {
     /// Whether the slot is booked; else the wait would be longer than is of use.
-    pub booked: bool,
+    #[serde(rename = "booked")]
+    pub reserved: bool,
     /// The wait until the slot.
     pub wait: Duration,
     /// Time for which the engine has prompts to read, this one among them if it is booked.
     pub backlog: Duration,
     /// Tokens of the prompt that the engine is taken to have kept.
-    pub kept: u32,
+    #[serde(rename = "kept")]
+    pub cached: u32,
     /// Time that the engine takes at its full rate from the slot on until the prompt is read, with the
     /// prompts before it.
-    pub reads: Duration,
+    #[serde(rename = "reads")]
+    pub prefill_time: Duration,
 }
 
-impl Answer {
+impl Reply {
     /// No slot, as the prompt's model makes way. The wait is longer than is of use, so that the prompt goes
     /// elsewhere, and short enough to tell a client when to come back: by then another engine has it.
-    pub fn leaving(ask: &Ask) -> Self {
+    pub fn model_draining(req: &Request) -> Self {
         Self {
-            booked: false,
-            wait: ask.limit + SWAP_TIME,
+            reserved: false,
+            wait: req.max_wait + SWAP_DURATION,
             backlog: Duration::ZERO,
-            kept: 0,
-            reads: Duration::ZERO,
+            cached: 0,
+            prefill_time: Duration::ZERO,
         }
     }
 }
 
 /// How long an engine took over a prompt whose slot had come.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Read {
+pub struct Measurement {
     /// The model.
     pub model: Box<str>,
-    /// What the [`Answer`] said that it would take to be read.
-    pub reads: Duration,
+    /// What the [`Reply`] said that it would take to be read.
+    #[serde(rename = "reads")]
+    pub prefill_time: Duration,
     /// From sending the request to its first event.
     pub took: Duration,
 }
 
 /// A part that the engine has read.
-struct Kept {
+struct CachedBlock {
     chain: u64,
     tokens: u32,
     model: Box<str>,
@@ -154,8 +161,8 @@
     rates: Vec<Rate>,
     last: Burst,
     /// Sorted by chain.
-    kept: Vec<Kept>,
-    kept_tokens: u64,
+    cached_blocks: Vec<CachedBlock>,
+    cached_tokens: u64,
 }
 
 impl Schedule {
@@ -168,33 +175,33 @@
     }
 
     /// Takes in how long the engine took to read a prompt and those before it.
-    pub fn learn(&mut self, read: &Read) {
-        let took = ms(read.took);
-        let rate = self.rate_of(&read.model);
-        rate.first_ms = took.min(rate.first_ms * (1.0 + FIRST_DRIFT));
-        if read.reads < SAMPLE_TIME {
+    pub fn record(&mut self, measured: &Measurement) {
+        let took = ms(measured.took);
+        let rate = self.rate_of(&measured.model);
+        rate.first_ms = took.min(rate.first_ms * (1.0 + BASE_LATENCY_DRIFT));
+        if measured.prefill_time < MIN_SAMPLE_TIME {
             return;
         }
         let reading = took - rate.first_ms;
         // Where all prompts take alike, what is beside reading cannot be told from it; but the engine was no
         // slower than if it had read all the time.
-        let least = ms(read.reads) / took;
+        let min_rate = ms(measured.prefill_time) / took;
         let sample = if reading > 0.0 {
-            least.max(ms(read.reads) / reading)
-        } else if least > 1.0 {
-            least
+            min_rate.max(ms(measured.prefill_time) / reading)
+        } else if min_rate > 1.0 {
+            min_rate
         } else {
             return;
         };
-        let sample = sample.clamp(*SAMPLES.start(), *SAMPLES.end());
-        let learned = rate.tokens_per_ms * (1.0 + RATE_SMOOTH * (sample - 1.0));
-        rate.tokens_per_ms = learned.clamp(*RATES.start(), *RATES.end());
+        let sample = sample.clamp(*SAMPLE_BOUNDS.start(), *SAMPLE_BOUNDS.end());
+        let updated = rate.tokens_per_ms * (1.0 + SAMPLE_WEIGHT * (sample - 1.0));
+        rate.tokens_per_ms = updated.clamp(*RATE_BOUNDS.start(), *RATE_BOUNDS.end());
     }
 
     /// Tokens of a model's prompts that the engine reads in a millisecond.
     pub fn rate(&self, model: &str) -> f64 {
         let found = self.rates.binary_search_by(|r| (*r.model).cmp(model));
-        found.map_or(FIRST_RATE, |i| self.rates[i].tokens_per_ms)
+        found.map_or(INITIAL_RATE, |i| self.rates[i].tokens_per_ms)
     }
 
     /// What has been learned, by model.
@@ -208,7 +215,7 @@
             Err(i) => {
                 let new = Rate {
                     model: model.into(),
-                    tokens_per_ms: FIRST_RATE,
+                    tokens_per_ms: INITIAL_RATE,
                     first_ms: f64::INFINITY,
                 };
                 self.rates.insert(i, new);
@@ -220,8 +227,8 @@
 
     /// Forgets what was kept for a model: the engine has unloaded it.
     pub fn unloaded(&mut self, model: &str) {
-        self.kept.retain(|k| *k.model != *model);
-        self.count();
+        self.cached_blocks.retain(|b| *b.model != *model);
+        self.recount();
     }
 
     /// Time for which the engine has prompts to read.
@@ -230,35 +237,36 @@
     }
 
     /// Gives a prompt its slot, if the wait is of use. `memory` is the engine's, in tokens.
-    pub fn ask(&mut self, ask: &Ask, memory: u64, now: Duration) -> Answer {
-        let kept = self.kept_of(ask);
-        let cost = ms(self.work(ask, kept));
-        let burst = self.place(cost, ask.pause.unwrap_or(USUAL_PAUSE), now);
+    pub fn reserve(&mut self, req: &Request, memory: u64, now: Duration) -> Reply {
+        let cached = self.cached_prefix(req);
+        let cost = ms(self.prefill_time(req, cached));
+        let burst = self.burst_for(cost, req.pause.unwrap_or(DEFAULT_PAUSE), now);
         let sent = burst.from.max(ms(now));
         let wait = duration(sent - ms(now));
         // One that would keep a more urgent one from its slot waits until nothing is before it.
         let next = duration(burst.until + burst.rest() - ms(now));
-        let crowds = ask.spare.is_some_and(|spare| next > spare) && !wait.is_zero();
-        let booked = wait <= ask.limit && !crowds;
-        if booked {
+        let delays_urgent =
+            req.urgent_max_wait.is_some_and(|limit| next > limit) && !wait.is_zero();
+        let reserved = wait <= req.max_wait && !delays_urgent;
+        if reserved {
             self.last = burst;
-            self.keep(ask, memory, now);
+            self.cache(req, memory, now);
         }
-        Answer {
-            booked,
+        Reply {
+            reserved,
             wait,
             backlog: self.backlog(now),
-            kept,
-            reads: duration(burst.until - sent),
+            cached,
+            prefill_time: duration(burst.until - sent),
         }
     }
 
     /// The burst in which a prompt is read that takes so long, with it: the last one, if it has room or is
     /// over, or the next.
-    fn place(&self, cost: f64, pause: Duration, now: Duration) -> Burst {
+    fn burst_for(&self, cost: f64, pause: Duration, now: Duration) -> Burst {
         let now = ms(now);
         let until = self.last.until.max(now) + cost;
-        if until - self.last.from <= BURST_PART * ms(pause) {
+        if until - self.last.from <= BURST_FRACTION * ms(pause) {
             return Burst { until, ..self.last };
         }
         // A prompt longer than a burst is one by itself.
@@ -270,47 +278,50 @@
     }
 
     /// Time that reading a prompt takes, of which so many tokens are kept.
-    pub fn work(&self, ask: &Ask, kept: u32) -> Duration {
-        let tokens = f64::from(ask.tokens.saturating_sub(kept)) + EACH_TOKENS;
-        Duration::from_secs_f64(tokens / self.rate(&ask.model) / 1000.0)
+    pub fn prefill_time(&self, req: &Request, cached: u32) -> Duration {
+        let tokens = f64::from(req.tokens.saturating_sub(cached)) + PROMPT_OVERHEAD_TOKENS;
+        Duration::from_secs_f64(tokens / self.rate(&req.model) / 1000.0)
     }
 
     /// A part is of use only if all before it are kept as well.
-    fn kept_of(&self, ask: &Ask) -> u32 {
-        let kept = |p: &&Part| {
-            self.kept
-                .binary_search_by_key(&p.chain, |k| k.chain)
+    fn cached_prefix(&self, req: &Request) -> u32 {
+        let cached = |b: &&PrefixBlock| {
+            self.cached_blocks
+                .binary_search_by_key(&b.chain, |b| b.chain)
                 .is_ok()
         };
-        ask.parts.iter().take_while(kept).map(|p| p.tokens).sum()
+        req.blocks.iter().take_while(cached).map(|b| b.tokens).sum()
     }
 
-    fn keep(&mut self, ask: &Ask, memory: u64, now: Duration) {
-        for part in &ask.parts {
-            match self.kept.binary_search_by_key(&part.chain, |k| k.chain) {
-                Ok(i) => self.kept[i].used = now,
+    fn cache(&mut self, req: &Request, memory: u64, now: Duration) {
+        for block in &req.blocks {
+            match self
+                .cached_blocks
+                .binary_search_by_key(&block.chain, |b| b.chain)
+            {
+                Ok(i) => self.cached_blocks[i].used = now,
                 Err(i) => {
-                    let new = Kept {
-                        chain: part.chain,
-                        tokens: part.tokens,
-                        model: ask.model.clone(),
+                    let new = CachedBlock {
+                        chain: block.chain,
+                        tokens: block.tokens,
+                        model: req.model.clone(),
                         used: now,
                     };
-                    self.kept.insert(i, new);
+                    self.cached_blocks.insert(i, new);
                 }
             }
         }
-        self.count();
-        let most = (memory as f64 * KEPT_PART) as u64;
-        while self.kept_tokens > most {
-            let oldest = (0..self.kept.len()).min_by_key(|i| self.kept[*i].used);
+        self.recount();
+        let max_tokens = (memory as f64 * CACHE_FRACTION) as u64;
+        while self.cached_tokens > max_tokens {
+            let oldest = (0..self.cached_blocks.len()).min_by_key(|i| self.cached_blocks[*i].used);
             let Some(i) = oldest else { break };
-            self.kept_tokens -= u64::from(self.kept.remove(i).tokens);
+            self.cached_tokens -= u64::from(self.cached_blocks.remove(i).tokens);
         }
     }
 
-    fn count(&mut self) {
-        self.kept_tokens = self.kept.iter().map(|k| u64::from(k.tokens)).sum();
+    fn recount(&mut self) {
+        self.cached_tokens = self.cached_blocks.iter().map(|b| u64::from(b.tokens)).sum();
     }
 }
 
@@ -328,7 +339,7 @@
         if read <= 0.0 {
             return 0.0;
         }
-        (read * (1.0 - READ_PART) / READ_PART).max(LEAST_BREAK_MS)
+        (read * (1.0 - PREFILL_FRACTION) / PREFILL_FRACTION).max(MIN_BREAK_MS)
     }
 }
 
--- a/crates/stair-fleet/src/allowance.rs
+++ b/crates/stair-fleet/src/quota.rs
@@ -12,33 +12,36 @@
     Serialize, //
 };
 
-use crate::workspace::Allowance;
+use crate::workspace::Quota;
 
 /// The longest time over which clients that are refused are spread.
-const SPREAD_TIME: Duration = Duration::from_secs(2);
+const RETURN_SPREAD_WINDOW: Duration = Duration::from_secs(2);
 
 /// Asks for a part of an allowance.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Ask {
+pub struct Request {
     /// The workspace.
     pub workspace: Box<str>,
     /// The version of the catalogue that says so.
     pub version: u64,
     /// What the workspace may ask for.
-    pub allowance: Allowance,
+    #[serde(rename = "allowance")]
+    pub quota: Quota,
     /// The units that the request costs.
     pub cost: f64,
     /// The longest wait that is of use.
-    pub limit: Duration,
+    #[serde(rename = "limit")]
+    pub max_wait: Duration,
     /// Whether the request has been let through already, so that its cost is only counted.
-    pub passed: bool,
+    #[serde(rename = "passed")]
+    pub admitted: bool,
     /// Whether the one that is asked stands in for another that does not answer.
     pub stand_in: bool,
 }
 
-/// The answer to an [`Ask`].
+/// The answer to an [`Request`].
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
-pub struct Answer {
+pub struct Reply {
     /// Whether the request may be sent, after the wait.
     pub granted: bool,
     /// How long to wait: before it is sent, or before the client comes back.
@@ -48,78 +51,82 @@
 /// What is left of one allowance.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct Bucket {
-    allowance: Allowance,
+    #[serde(rename = "allowance")]
+    quota: Quota,
     /// Units that may be spent at once; below 0 after a request that cost more than there was.
     level: f64,
     at: Duration,
     /// When the next client that is refused comes back.
-    returns_at: Duration,
+    #[serde(rename = "returns_at")]
+    next_return_at: Duration,
 }
 
 impl Bucket {
     /// Makes one with nothing saved: what was let through before it was made is not known.
-    pub fn new(allowance: Allowance, now: Duration) -> Self {
+    pub fn new(quota: Quota, now: Duration) -> Self {
         Self {
-            allowance,
+            quota,
             level: 0.0,
             at: now,
-            returns_at: now,
+            next_return_at: now,
         }
     }
 
     /// Puts another allowance in force.
-    pub fn set(&mut self, allowance: Allowance, now: Duration) {
-        if allowance == self.allowance {
+    pub fn set(&mut self, quota: Quota, now: Duration) {
+        if quota == self.quota {
             return;
         }
         self.refill(now);
-        if std::mem::discriminant(&allowance.unit) != std::mem::discriminant(&self.allowance.unit) {
+        if std::mem::discriminant(&quota.unit) != std::mem::discriminant(&self.quota.unit) {
             self.level = 0.0;
         }
-        self.allowance = allowance;
-        self.level = self.level.min(allowance.burst);
+        self.quota = quota;
+        self.level = self.level.min(quota.burst);
     }
 
     /// Drops what was saved.
-    pub fn forget_saved(&mut self, now: Duration) {
+    pub fn discard_credit(&mut self, now: Duration) {
         self.refill(now);
         self.level = self.level.min(0.0);
     }
 
     /// Lets a request through, now or after a wait, or tells when its client should come back.
-    pub fn spend(&mut self, cost: f64, limit: Duration, now: Duration) -> Answer {
+    pub fn spend(&mut self, cost: f64, max_wait: Duration, now: Duration) -> Reply {
         self.refill(now);
-        let wait = self.debt_time();
-        if wait <= limit {
+        let wait = self.time_to_zero();
+        if wait <= max_wait {
             self.level -= cost;
-            return Answer {
+            return Reply {
                 granted: true,
                 wait,
             };
         }
         let earliest = now + wait;
-        let back = self.returns_at.clamp(earliest, earliest + SPREAD_TIME);
-        self.returns_at = back + self.time_of(cost);
-        Answer {
+        let back = self
+            .next_return_at
+            .clamp(earliest, earliest + RETURN_SPREAD_WINDOW);
+        self.next_return_at = back + self.refill_time(cost);
+        Reply {
             granted: false,
             wait: back - now,
         }
     }
 
     /// Counts a request that has been let through.
-    pub fn count(&mut self, cost: f64, now: Duration) -> Answer {
+    pub fn charge(&mut self, cost: f64, now: Duration) -> Reply {
         self.refill(now);
         self.level -= cost;
-        Answer {
+        Reply {
             granted: true,
-            wait: self.debt_time(),
+            wait: self.time_to_zero(),
         }
     }
 
     /// Gives back what a request has cost that was not run.
-    pub fn give_back(&mut self, cost: f64, now: Duration) {
+    pub fn refund(&mut self, cost: f64, now: Duration) {
         self.refill(now);
-        self.level = (self.level + cost).min(self.allowance.burst);
+        self.level = (self.level + cost).min(self.quota.burst);
     }
 
     /// Units that may be spent at once.
@@ -128,23 +135,23 @@
     }
 
     fn refill(&mut self, now: Duration) {
-        let passed = now.saturating_sub(self.at);
+        let admitted = now.saturating_sub(self.at);
         self.at = self.at.max(now);
-        let more = self.allowance.per_s * passed.as_secs_f64();
-        self.level = (self.level + more).min(self.allowance.burst);
+        let more = self.quota.per_s * admitted.as_secs_f64();
+        self.level = (self.level + more).min(self.quota.burst);
     }
 
     /// The time until nothing is owed.
-    fn debt_time(&self) -> Duration {
-        self.time_of(-self.level)
+    fn time_to_zero(&self) -> Duration {
+        self.refill_time(-self.level)
     }
 
     /// The time in which so many units come.
-    fn time_of(&self, units: f64) -> Duration {
+    fn refill_time(&self, units: f64) -> Duration {
         /// Longer than any client waits.
-        const LONGEST: Duration = Duration::from_secs(3600);
-        let time = Duration::try_from_secs_f64(units.max(0.0) / self.allowance.per_s);
-        time.unwrap_or(LONGEST).min(LONGEST)
+        const MAX_REFILL_TIME: Duration = Duration::from_secs(3600);
+        let time = Duration::try_from_secs_f64(units.max(0.0) / self.quota.per_s);
+        time.unwrap_or(MAX_REFILL_TIME).min(MAX_REFILL_TIME)
     }
 }
 
@@ -179,26 +186,26 @@
 
 impl Ledger {
     /// Answers an entry.
-    pub fn ask(&mut self, ask: &Ask, now: Duration) -> (Answer, Option<Crossing>) {
-        let account = self.account(ask, now);
-        if ask.version >= account.version {
-            account.version = ask.version;
-            account.bucket.set(ask.allowance, now);
+    pub fn handle(&mut self, req: &Request, now: Duration) -> (Reply, Option<Crossing>) {
+        let account = self.account(req, now);
+        if req.version >= account.version {
+            account.version = req.version;
+            account.bucket.set(req.quota, now);
         }
-        if ask.stand_in {
-            account.bucket.forget_saved(now);
+        if req.stand_in {
+            account.bucket.discard_credit(now);
         }
-        let answer = match ask.passed {
-            true => account.bucket.count(ask.cost, now),
-            false => account.bucket.spend(ask.cost, ask.limit, now),
+        let reply = match req.admitted {
+            true => account.bucket.charge(req.cost, now),
+            false => account.bucket.spend(req.cost, req.max_wait, now),
         };
-        (answer, account.crossing(answer.granted))
+        (reply, account.crossing(reply.granted))
     }
 
     /// Gives back what a request has cost that was not run.
-    pub fn give_back(&mut self, workspace: &str, cost: f64, now: Duration) {
+    pub fn refund(&mut self, workspace: &str, cost: f64, now: Duration) {
         if let Ok(i) = self.find(workspace) {
-            self.accounts[i].bucket.give_back(cost, now);
+            self.accounts[i].bucket.refund(cost, now);
         }
     }
 
@@ -212,12 +219,12 @@
             .binary_search_by(|a| (*a.workspace).cmp(workspace))
     }
 
-    fn account(&mut self, ask: &Ask, now: Duration) -> &mut Account {
-        let i = self.find(&ask.workspace).unwrap_or_else(|i| {
+    fn account(&mut self, req: &Request, now: Duration) -> &mut Account {
+        let i = self.find(&req.workspace).unwrap_or_else(|i| {
             let account = Account {
-                workspace: ask.workspace.clone(),
-                version: ask.version,
-                bucket: Bucket::new(ask.allowance, now),
+                workspace: req.workspace.clone(),
+                version: req.version,
+                bucket: Bucket::new(req.quota, now),
                 over: false,
             };
             self.accounts.insert(i, account);
@@ -229,7 +236,7 @@
 
 impl Account {
     fn crossing(&mut self, granted: bool) -> Option<Crossing> {
-        let full = self.bucket.level >= self.bucket.allowance.burst / 2.0;
+        let full = self.bucket.level >= self.bucket.quota.burst / 2.0;
         match (granted, self.over) {
             (false, false) => {
                 self.over = true;
@@ -245,11 +252,11 @@
 }
 
 /// One entry's part of an allowance, for when nobody who counts it answers.
-pub fn share(allowance: Allowance, entries: u32) -> Allowance {
-    let part = |amount: f64| amount / f64::from(entries.max(1));
-    Allowance {
-        per_s: part(allowance.per_s),
-        burst: part(allowance.burst),
-        unit: allowance.unit,
+pub fn share(quota: Quota, entries: u32) -> Quota {
+    let share = |amount: f64| amount / f64::from(entries.max(1));
+    Quota {
+        per_s: share(quota.per_s),
+        burst: share(quota.burst),
+        unit: quota.unit,
     }
 }
--- a/crates/stair-fleet/src/workspace.rs
+++ b/crates/stair-fleet/src/workspace.rs
@@ -16,12 +16,13 @@
     /// The rank of its requests, 0 first; `None` leaves them the rank of their route.
     pub rank: Option<u8>,
     /// What it may ask for; `None` is without limit.
-    pub allowance: Option<Allowance>,
+    #[serde(rename = "allowance")]
+    pub quota: Option<Quota>,
 }
 
 /// How much a workspace may ask for, over all entries together.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
-pub struct Allowance {
+pub struct Quota {
     /// Units a second; above 0.
     pub per_s: f64,
     /// Units beyond the rate that may come at once.
--- a/crates/stair-fleet/tests/prefill.rs
+++ b/crates/stair-fleet/tests/prefill.rs
@@ -3,10 +3,10 @@
 use std::time::Duration;
 
 use stair_fleet::prefill::{
-    Answer,
-    Ask,
-    Part,
-    Read,
+    Measurement,
+    PrefixBlock,
+    Reply,
+    Request,
     Schedule, //
 };
 
@@ -17,29 +17,29 @@
 }
 
 /// A prompt of a shared head and a part of its own.
-fn prompt(head: u64, own: u64) -> Ask {
-    Ask {
+fn prompt(head: u64, own: u64) -> Request {
+    Request {
         model: "a".into(),
-        parts: vec![
-            Part {
+        blocks: vec![
+            PrefixBlock {
                 chain: head,
                 tokens: 6300,
             },
-            Part {
+            PrefixBlock {
                 chain: own,
                 tokens: 2900,
             },
         ],
         tokens: 9200,
-        limit: ms(60_000),
-        spare: None,
+        max_wait: ms(60_000),
+        urgent_max_wait: None,
         pause: Some(ms(600)),
         first: true,
     }
 }
 
-fn ask(prefills: &mut Schedule, head: u64, own: u64, now: Duration) -> Answer {
-    prefills.ask(&prompt(head, own), MEMORY, now)
+fn reserve(prefills: &mut Schedule, head: u64, own: u64, now: Duration) -> Reply {
+    prefills.reserve(&prompt(head, own), MEMORY, now)
 }
 
 /// Ten prompts with different heads come at once to an engine where streams run. Sent at once they
@@ -50,9 +50,9 @@
     let mut prefills = Schedule::default();
     let mut sent: Vec<(Duration, u64)> = Vec::new();
     for n in 0..10 {
-        let answer = ask(&mut prefills, n, 100 + n, ms(0));
-        assert!(answer.booked);
-        sent.push((answer.wait, 9200));
+        let reply = reserve(&mut prefills, n, 100 + n, ms(0));
+        assert!(reply.reserved);
+        sent.push((reply.wait, 9200));
     }
     for (from, _) in &sent {
         let within = |at: &Duration| *at >= *from && *at < *from + ms(600);
@@ -68,8 +68,8 @@
 fn no_wait_without_load() {
     let mut prefills = Schedule::default();
     for n in 0..20 {
-        let answer = ask(&mut prefills, n, 100 + n, ms(800 * n));
-        assert_eq!((answer.booked, answer.wait), (true, ms(0)));
+        let reply = reserve(&mut prefills, n, 100 + n, ms(800 * n));
+        assert_eq!((reply.reserved, reply.wait), (true, ms(0)));
     }
 }
 
@@ -77,17 +77,17 @@
 #[test]
 fn kept_heads_are_cheap() {
     let mut prefills = Schedule::default();
-    ask(&mut prefills, 1, 100, ms(0));
-    let same = ask(&mut prefills, 1, 101, ms(1000));
-    assert_eq!(same.kept, 6300);
-    let again = ask(&mut prefills, 1, 101, ms(2000));
-    assert_eq!(again.kept, 9200);
-    let other = ask(&mut prefills, 2, 102, ms(3000));
-    assert_eq!(other.kept, 0);
+    reserve(&mut prefills, 1, 100, ms(0));
+    let same = reserve(&mut prefills, 1, 101, ms(1000));
+    assert_eq!(same.cached, 6300);
+    let again = reserve(&mut prefills, 1, 101, ms(2000));
+    assert_eq!(again.cached, 9200);
+    let other = reserve(&mut prefills, 2, 102, ms(3000));
+    assert_eq!(other.cached, 0);
     // A part is of no use without those before it.
     let mut broken = prompt(3, 101);
     broken.tokens = 9200;
-    assert_eq!(prefills.ask(&broken, MEMORY, ms(4000)).kept, 0);
+    assert_eq!(prefills.reserve(&broken, MEMORY, ms(4000)).cached, 0);
 }
 
 /// The engine unloads a model or restarts: what it had read is gone. Prompts that were taken for kept
@@ -95,13 +95,13 @@
 #[test]
 fn kept_until_unloaded() {
     let mut prefills = Schedule::default();
-    ask(&mut prefills, 1, 100, ms(0));
+    reserve(&mut prefills, 1, 100, ms(0));
     prefills.unloaded("b");
-    assert_eq!(ask(&mut prefills, 1, 101, ms(1000)).kept, 6300);
+    assert_eq!(reserve(&mut prefills, 1, 101, ms(1000)).cached, 6300);
     prefills.unloaded("a");
-    assert_eq!(ask(&mut prefills, 1, 101, ms(2000)).kept, 0);
+    assert_eq!(reserve(&mut prefills, 1, 101, ms(2000)).cached, 0);
     prefills.clear();
-    assert_eq!(ask(&mut prefills, 1, 101, ms(3000)).kept, 0);
+    assert_eq!(reserve(&mut prefills, 1, 101, ms(3000)).cached, 0);
 }
 
 /// Memory is bounded: the heads used least lately are taken for gone.
@@ -109,10 +109,10 @@
 fn least_used_yield() {
     let mut prefills = Schedule::default();
     for n in 0..100 {
-        ask(&mut prefills, n, 1000 + n, ms(1000 * n));
+        reserve(&mut prefills, n, 1000 + n, ms(1000 * n));
     }
-    assert_eq!(ask(&mut prefills, 99, 1, ms(101_000)).kept, 6300);
-    assert_eq!(ask(&mut prefills, 0, 2, ms(102_000)).kept, 0);
+    assert_eq!(reserve(&mut prefills, 99, 1, ms(101_000)).cached, 6300);
+    assert_eq!(reserve(&mut prefills, 0, 2, ms(102_000)).cached, 0);
 }
 
 /// A prompt whose turn would come too late is told so at once, takes nobody's slot, and can go
@@ -121,16 +121,16 @@
 fn too_late_is_not_booked() {
     let mut prefills = Schedule::default();
     for n in 0..5 {
-        ask(&mut prefills, n, 100 + n, ms(0));
+        reserve(&mut prefills, n, 100 + n, ms(0));
     }
     let backlog = prefills.backlog(ms(0));
     let mut late = prompt(7, 107);
-    late.limit = ms(300);
-    let answer = prefills.ask(&late, MEMORY, ms(0));
-    assert!(!answer.booked && answer.wait > ms(300));
+    late.max_wait = ms(300);
+    let reply = prefills.reserve(&late, MEMORY, ms(0));
+    assert!(!reply.reserved && reply.wait > ms(300));
     assert_eq!(prefills.backlog(ms(0)), backlog);
-    late.limit = answer.wait;
-    assert!(prefills.ask(&late, MEMORY, ms(0)).booked);
+    late.max_wait = reply.wait;
+    assert!(prefills.reserve(&late, MEMORY, ms(0)).reserved);
 }
 
 /// A long prompt of a less urgent route is read, and four more of them ask for their slots. An urgent one comes
@@ -139,24 +139,24 @@
 #[test]
 fn less_urgent_leaves_room() {
     let mut prefills = Schedule::default();
-    let calm = |n| Ask {
-        limit: ms(400),
-        spare: Some(ms(600)),
+    let calm = |n| Request {
+        max_wait: ms(400),
+        urgent_max_wait: Some(ms(600)),
         pause: Some(ms(400)),
         ..prompt(n, 100 + n)
     };
-    assert!(prefills.ask(&calm(0), MEMORY, ms(1000)).booked);
+    assert!(prefills.reserve(&calm(0), MEMORY, ms(1000)).reserved);
     for n in 1..5 {
-        assert!(!prefills.ask(&calm(n), MEMORY, ms(1001)).booked);
+        assert!(!prefills.reserve(&calm(n), MEMORY, ms(1001)).reserved);
     }
-    let urgent = Ask {
-        limit: ms(590),
+    let urgent = Request {
+        max_wait: ms(590),
         pause: Some(ms(400)),
         ..prompt(9, 109)
     };
-    assert!(prefills.ask(&urgent, MEMORY, ms(1010)).booked);
+    assert!(prefills.reserve(&urgent, MEMORY, ms(1010)).reserved);
     // With nothing before it, one goes however long it is.
-    assert!(prefills.ask(&calm(5), MEMORY, ms(3000)).booked);
+    assert!(prefills.reserve(&calm(5), MEMORY, ms(3000)).reserved);
 }
 
 /// A prompt longer than what may be read on end goes once nothing is before it; it must not wait for
@@ -166,10 +166,10 @@
     let mut prefills = Schedule::default();
     let mut long = prompt(1, 100);
     long.tokens = 30_000;
-    let answer = prefills.ask(&long, MEMORY, ms(0));
-    assert_eq!((answer.booked, answer.wait), (true, ms(0)));
-    let next = prefills.ask(&long, MEMORY, ms(0));
-    assert!(next.booked && next.wait < ms(1300), "{next:?}");
+    let reply = prefills.reserve(&long, MEMORY, ms(0));
+    assert_eq!((reply.reserved, reply.wait), (true, ms(0)));
+    let next = prefills.reserve(&long, MEMORY, ms(0));
+    assert!(next.reserved && next.wait < ms(1300), "{next:?}");
 }
 
 /// Twelve prompts a second of a model with two replicas' worth of demand come to one engine for ten
@@ -178,19 +178,19 @@
 #[test]
 fn overload_keeps_some_on_time() {
     let mut prefills = Schedule::default();
-    let mut booked = 0;
+    let mut reserved = 0;
     for n in 0..120 {
         let mut one = prompt(n % 6, 1000 + n);
-        one.limit = ms(400);
+        one.max_wait = ms(400);
         let now = ms(n * 1000 / 12);
-        let answer = prefills.ask(&one, MEMORY, now);
-        if answer.booked {
-            booked += 1;
-            assert!(answer.backlog < ms(1000), "{answer:?}");
+        let reply = prefills.reserve(&one, MEMORY, now);
+        if reply.reserved {
+            reserved += 1;
+            assert!(reply.backlog < ms(1000), "{reply:?}");
         }
     }
     // 26 tokens a millisecond are read, 3,050 a prompt once the heads are kept.
-    assert!((78..=92).contains(&booked), "{booked}");
+    assert!((78..=92).contains(&reserved), "{reserved}");
 }
 
 /// An engine that reads prompts between the tokens of one stream, in the order in which they come.
@@ -206,12 +206,12 @@
     /// Tokens that are left to be read.
     left: f64,
     /// What the agent said that reading takes.
-    reads: Duration,
+    prefill_time: Duration,
 }
 
 impl Engine {
     /// Takes one step, and tells which prompts it finished.
-    fn step(&mut self) -> Vec<Read> {
+    fn step(&mut self) -> Vec<Measurement> {
         const CHUNK: f64 = 4096.0;
         const TOKEN_MS: f64 = 6.0;
         let mut room = CHUNK;
@@ -223,9 +223,9 @@
         self.now += TOKEN_MS + (CHUNK - room) / self.tokens_per_ms;
         let done = self.prompts.iter().filter(|p| p.left <= 0.0);
         let done = done
-            .map(|p| Read {
+            .map(|p| Measurement {
                 model: "a".into(),
-                reads: p.reads,
+                prefill_time: p.prefill_time,
                 took: Duration::from_secs_f64((self.now - p.at_ms) / 1000.0),
             })
             .collect();
@@ -264,16 +264,16 @@
             while f64::from(next) * 300.0 <= engine.now {
                 let now = ms(300 * u64::from(next));
                 next += 1;
-                let prompt = Ask {
-                    limit: ms(800),
+                let prompt = Request {
+                    max_wait: ms(800),
                     ..prompt(1000 + u64::from(next), 2000 + u64::from(next))
                 };
-                let answer = prefills.ask(&prompt, MEMORY, now);
-                if answer.booked {
+                let reply = prefills.reserve(&prompt, MEMORY, now);
+                if reply.reserved {
                     engine.prompts.push(Sent {
-                        at_ms: (now + answer.wait).as_secs_f64() * 1000.0,
+                        at_ms: (now + reply.wait).as_secs_f64() * 1000.0,
                         left: 9200.0,
-                        reads: answer.reads,
+                        prefill_time: reply.prefill_time,
                     });
                     out.sent += usize::from(counts);
                 }
@@ -281,7 +281,7 @@
             let read = engine.step();
             read.into_iter()
                 .filter(|_| learns)
-                .for_each(|r| prefills.learn(&r));
+                .for_each(|r| prefills.record(&r));
         }
         if counts {
             out.events += 1;
@@ -295,10 +295,15 @@
 /// come to such an engine as fast as it can read and its streams stall for as long as that lasts.
 #[test]
 fn streams_of_slow_engines() {
-    let part = |m: &Minute| m.late as f64 / m.events as f64;
+    let fraction = |m: &Minute| m.late as f64 / m.events as f64;
     let (before, after) = (minute(25.6, false), minute(25.6, true));
-    assert!(part(&before) > 0.5, "{} of {}", before.late, before.events);
-    assert!(part(&after) < 0.1, "{} of {}", after.late, after.events);
+    assert!(
+        fraction(&before) > 0.5,
+        "{} of {}",
+        before.late,
+        before.events
+    );
+    assert!(fraction(&after) < 0.1, "{} of {}", after.late, after.events);
 }
 
 /// A fast engine takes more prompts than the usual one, and its streams keep their pace.
@@ -327,20 +332,20 @@
         let mut last = Duration::ZERO;
         for n in 0..16 {
             let chain = 100 * wave + n;
-            let one = Ask {
-                parts: vec![Part {
+            let one = Request {
+                blocks: vec![PrefixBlock {
                     chain,
                     tokens: 3000,
                 }],
                 tokens: 3000,
                 ..prompt(0, 0)
             };
-            let answer = prefills.ask(&one, MEMORY, begun);
-            last = answer.wait;
+            let reply = prefills.reserve(&one, MEMORY, begun);
+            last = reply.wait;
             engine.prompts.push(Sent {
-                at_ms: (begun + answer.wait).as_secs_f64() * 1000.0,
+                at_ms: (begun + reply.wait).as_secs_f64() * 1000.0,
                 left: 3000.0,
-                reads: answer.reads,
+                prefill_time: reply.prefill_time,
             });
         }
         assert!(last < ms(2200), "the last one waits {last:?}");
@@ -361,15 +366,15 @@
     let mut prefills = Schedule::default();
     let before = prefills.rate("a");
     for _ in 0..50 {
-        prefills.learn(&read("a", 24, 60));
+        prefills.record(&read("a", 24, 60));
     }
     assert_eq!(prefills.rate("a"), before);
 }
 
-fn read(model: &str, reads: u64, took: u64) -> Read {
-    Read {
+fn read(model: &str, prefill_time: u64, took: u64) -> Measurement {
+    Measurement {
         model: model.into(),
-        reads: ms(reads),
+        prefill_time: ms(prefill_time),
         took: ms(took),
     }
 }
@@ -380,11 +385,11 @@
 #[test]
 fn small_models_are_read_faster() {
     let mut prefills = Schedule::default();
-    prefills.learn(&read("small", 10, 60));
-    prefills.learn(&read("large", 10, 60));
+    prefills.record(&read("small", 10, 60));
+    prefills.record(&read("large", 10, 60));
     for _ in 0..40 {
-        prefills.learn(&read("small", 150, 60 + 100));
-        prefills.learn(&read("large", 150, 60 + 150));
+        prefills.record(&read("small", 150, 60 + 100));
+        prefills.record(&read("large", 150, 60 + 150));
     }
     assert!(prefills.rate("small") > 1.4 * prefills.rate("large"));
     assert!((30.0..36.0).contains(&prefills.rate("large")));
@@ -396,12 +401,12 @@
 #[test]
 fn kept_unknown_to_the_agent() {
     let mut prefills = Schedule::default();
-    prefills.learn(&read("a", 100, 20));
+    prefills.record(&read("a", 100, 20));
     for n in 0..300 {
         // 6,600 tokens, of which the engine reads 33 in a millisecond.
-        let reads = 6600.0 / prefills.rate("a");
+        let prefill_time = 6600.0 / prefills.rate("a");
         let took = if n % 3 == 0 { 25 } else { 20 + 200 };
-        prefills.learn(&read("a", reads as u64, took));
+        prefills.record(&read("a", prefill_time as u64, took));
     }
     let rate = prefills.rate("a");
     assert!((25.0..=38.0).contains(&rate), "{rate} tokens a millisecond");
@@ -412,10 +417,10 @@
 #[test]
 fn engine_turns_slow() {
     let mut prefills = Schedule::default();
-    prefills.learn(&read("a", 100, 20));
+    prefills.record(&read("a", 100, 20));
     for _ in 0..20 {
-        let reads = 6600.0 / prefills.rate("a");
-        prefills.learn(&read("a", reads as u64, 20 + 600));
+        let prefill_time = 6600.0 / prefills.rate("a");
+        prefills.record(&read("a", prefill_time as u64, 20 + 600));
     }
     assert!(prefills.rate("a") < 14.0, "{}", prefills.rate("a"));
 }
@@ -425,11 +430,11 @@
 /// its model is there again within a second.
 #[test]
 fn model_makes_way() {
-    let ask = Ask {
-        limit: ms(300),
+    let req = Request {
+        max_wait: ms(300),
         ..prompt(1, 100)
     };
-    let answer = Answer::leaving(&ask);
-    assert!(!answer.booked && answer.wait > ask.limit);
-    assert!(answer.wait <= ask.limit + ms(1000));
+    let reply = Reply::model_draining(&req);
+    assert!(!reply.reserved && reply.wait > req.max_wait);
+    assert!(reply.wait <= req.max_wait + ms(1000));
 }
--- a/crates/stair-fleet/tests/allowance.rs
+++ b/crates/stair-fleet/tests/quota.rs
@@ -7,20 +7,20 @@
     prelude::*, //
 };
 use stair_fleet::{
-    allowance::{
-        Ask,
+    quota::{
         Bucket,
         Crossing,
         Ledger,
+        Request,
         share, //
     },
     workspace::{
-        Allowance,
+        Quota,
         Unit, //
     },
 };
 
-const TOKENS: Allowance = Allowance {
+const TOKENS: Quota = Quota {
     per_s: 29_000.0,
     burst: 29_000.0,
     unit: Unit::Tokens { plain: 200.0 },
@@ -33,14 +33,14 @@
     Duration::from_millis(ms)
 }
 
-fn ask(version: u64, allowance: Allowance, cost: f64) -> Ask {
-    Ask {
+fn request(version: u64, quota: Quota, cost: f64) -> Request {
+    Request {
         workspace: "acme".into(),
         version,
-        allowance,
+        quota,
         cost,
-        limit: Duration::ZERO,
-        passed: false,
+        max_wait: Duration::ZERO,
+        admitted: false,
         stand_in: false,
     }
 }
@@ -55,7 +55,7 @@
 /// Guards against a workspace whose requests cost more than its burst and would never be served.
 #[test]
 fn larger_than_burst() {
-    let small = Allowance {
+    let small = Quota {
         burst: 100.0,
         ..TOKENS
     };
@@ -90,30 +90,30 @@
 #[test]
 fn nothing_saved_at_first() {
     let mut ledger = Ledger::default();
-    let mut passed = 0;
-    while ledger.ask(&ask(1, TOKENS, DRAFT), ms(0)).0.granted {
-        passed += 1;
+    let mut admitted = 0;
+    while ledger.handle(&request(1, TOKENS, DRAFT), ms(0)).0.granted {
+        admitted += 1;
     }
-    assert_eq!(passed, 1);
+    assert_eq!(admitted, 1);
     let late = ms(60_000);
-    let mut stand_in = ask(1, TOKENS, DRAFT);
+    let mut stand_in = request(1, TOKENS, DRAFT);
     stand_in.stand_in = true;
-    assert!(ledger.ask(&stand_in, late).0.granted);
-    assert!(!ledger.ask(&stand_in, late).0.granted);
+    assert!(ledger.handle(&stand_in, late).0.granted);
+    assert!(!ledger.handle(&stand_in, late).0.granted);
 }
 
 /// An entry that lags asks with an allowance that is no longer in force.
 #[test]
 fn versions_only_rise() {
     let mut ledger = Ledger::default();
-    let lower = Allowance {
+    let lower = Quota {
         per_s: 1_000.0,
         burst: 1_000.0,
         ..TOKENS
     };
-    ledger.ask(&ask(2, lower, 500.0), ms(0));
+    ledger.handle(&request(2, lower, 500.0), ms(0));
     for n in 0..20 {
-        ledger.ask(&ask(1, TOKENS, 500.0), ms(n * 100));
+        ledger.handle(&request(1, TOKENS, 500.0), ms(n * 100));
     }
     assert!(ledger.accounts()[0].bucket.level() <= 0.0);
     assert_eq!(ledger.accounts()[0].version, 2);
@@ -123,21 +123,21 @@
 fn crossings_are_told_once() {
     let mut ledger = Ledger::default();
     let told: Vec<_> = (0..6)
-        .filter_map(|_| ledger.ask(&ask(1, TOKENS, DRAFT), ms(0)).1)
+        .filter_map(|_| ledger.handle(&request(1, TOKENS, DRAFT), ms(0)).1)
         .collect();
     assert_eq!(told, [Crossing::Over]);
-    let (answer, crossing) = ledger.ask(&ask(1, TOKENS, DRAFT), ms(5_000));
-    assert!(answer.granted);
+    let (reply, crossing) = ledger.handle(&request(1, TOKENS, DRAFT), ms(5_000));
+    assert!(reply.granted);
     assert_eq!(crossing, Some(Crossing::Under));
 }
 
 #[test]
 fn given_back() {
     let mut ledger = Ledger::default();
-    assert!(ledger.ask(&ask(1, TOKENS, DRAFT), ms(0)).0.granted);
-    ledger.give_back("acme", DRAFT, ms(0));
-    assert!(ledger.ask(&ask(1, TOKENS, DRAFT), ms(0)).0.granted);
-    ledger.give_back("nobody", DRAFT, ms(0));
+    assert!(ledger.handle(&request(1, TOKENS, DRAFT), ms(0)).0.granted);
+    ledger.refund("acme", DRAFT, ms(0));
+    assert!(ledger.handle(&request(1, TOKENS, DRAFT), ms(0)).0.granted);
+    ledger.refund("nobody", DRAFT, ms(0));
 }
 
 /// One second of demand comes to the entries unevenly: most of it to one of them.
@@ -183,7 +183,7 @@
 enum Event {
     Spend {
         cost: u32,
-        limit: u64,
+        max_wait: u64,
     },
     /// A request that is given back before it is sent.
     Undone {
@@ -197,7 +197,7 @@
 
 fn event() -> impl Strategy<Value = Event> {
     prop_oneof![
-        (1..20_000_u32, 0..500_u64).prop_map(|(cost, limit)| Event::Spend { cost, limit }),
+        (1..20_000_u32, 0..500_u64).prop_map(|(cost, max_wait)| Event::Spend { cost, max_wait }),
         (1..20_000_u32).prop_map(|cost| Event::Undone { cost }),
         (1..3_000_u64).prop_map(Event::Pass),
         Just(Event::Again),
@@ -214,24 +214,24 @@
         let mut sent: Vec<(Duration, f64)> = Vec::new();
         for event in events {
             match event {
-                Event::Spend { cost, limit } => {
+                Event::Spend { cost, max_wait } => {
                     let cost = f64::from(cost);
-                    let answer = bucket.spend(cost, ms(limit), now);
-                    if answer.granted {
-                        sent.push((now + answer.wait, cost));
+                    let reply = bucket.spend(cost, ms(max_wait), now);
+                    if reply.granted {
+                        sent.push((now + reply.wait, cost));
                     }
                 }
                 Event::Undone { cost } => {
                     let cost = f64::from(cost);
                     if bucket.spend(cost, ms(0), now).granted {
-                        bucket.give_back(cost, now);
+                        bucket.refund(cost, now);
                     }
                 }
                 Event::Pass(t) => now += ms(t),
                 Event::Again => {
                     bucket.spend(0.0, ms(0), now.saturating_sub(ms(50)));
                 }
-                Event::Forget => bucket.forget_saved(now),
+                Event::Forget => bucket.discard_credit(now),
             }
         }
         let most = 20_000.0;
--- a/crates/stair-fleet/tests/random.rs
+++ b/crates/stair-fleet/tests/random.rs
@@ -15,9 +15,9 @@
         Options, //
     },
     prefill::{
-        Ask,
-        Part,
-        Read,
+        Measurement,
+        PrefixBlock,
+        Request,
         Schedule, //
     },
 };
@@ -167,36 +167,36 @@
     /// in any half second than it reads in a burst, what drains meanwhile and one prompt.
     #[test]
     fn prompts_let_through(
-        asks in vec((0..300u64, 200..12_000u32, 0..6u64), 1..120),
+        prompts in vec((0..300u64, 200..12_000u32, 0..6u64), 1..120),
         took in vec(100..900u64, 1..40),
     ) {
         let mut prefills = Schedule::default();
         let mut now = ms(0);
         let mut sent: Vec<(Duration, u32)> = Vec::new();
         for took in took {
-            prefills.learn(&Read {
+            prefills.record(&Measurement {
                 model: "a".into(),
-                reads: ms(270),
+                prefill_time: ms(270),
                 took: ms(took),
             });
         }
-        for (pause, tokens, head) in asks {
+        for (pause, tokens, head) in prompts {
             now += ms(pause);
-            let ask = Ask {
+            let req = Request {
                 model: "a".into(),
-                parts: vec![Part { chain: head, tokens: 200 }],
+                blocks: vec![PrefixBlock { chain: head, tokens: 200 }],
                 tokens,
-                limit: ms(2000),
-                spare: None,
+                max_wait: ms(2000),
+                urgent_max_wait: None,
                 pause: None,
                 first: true,
             };
-            let answer = prefills.ask(&ask, 250_000, now);
-            let own = f64::from(tokens - answer.kept) / prefills.rate("a") / 1000.0;
-            prop_assert!(answer.reads.as_secs_f64() >= own - 1e-6);
-            if answer.booked {
-                prop_assert!(answer.wait <= ask.limit);
-                sent.push((now + answer.wait, tokens - answer.kept));
+            let reply = prefills.reserve(&req, 250_000, now);
+            let own = f64::from(tokens - reply.cached) / prefills.rate("a") / 1000.0;
+            prop_assert!(reply.prefill_time.as_secs_f64() >= own - 1e-6);
+            if reply.reserved {
+                prop_assert!(reply.wait <= req.max_wait);
+                sent.push((now + reply.wait, tokens - reply.cached));
             }
         }
         for (from, _) in &sent {
--- a/crates/stair-fleet/tests/view.rs
+++ b/crates/stair-fleet/tests/view.rs
@@ -114,7 +114,7 @@
     };
     let all = vec![known("b", 7, 90), known("a", 5, 40), known("c", 7, 91)];
     let behind = Peers::of(&all[1], &all);
-    assert_eq!(&*behind.least, "a");
+    assert_eq!(&*behind.least_name, "a");
     let names: Vec<&str> = behind.newer.iter().map(|k| &*k.entry).collect();
     assert!(names.contains(&"c"), "{names:?}");
     assert!(names.len() <= 2);
--- a/crates/stair-fleet/tests/workspace.rs
+++ b/crates/stair-fleet/tests/workspace.rs
@@ -17,7 +17,7 @@
         workspace: Workspace {
             name: format!("w{name}").into(),
             rank,
-            allowance: None,
+            quota: None,
         },
         keys: keys.iter().map(|k| KeyDigest::of(&[*k])).collect(),
     }
--- a/crates/stair-relay/src/admit.rs
+++ b/crates/stair-relay/src/admit.rs
@@ -37,7 +37,7 @@
 use stair_fleet::{
     Catalogue,
     catalogue::Route,
-    prefill::Part, //
+    prefill::PrefixBlock, //
 };
 use stair_telemetry::event::Line;
 use tokio::time::{
@@ -268,11 +268,11 @@
 }
 
 /// The parts of the prompt, each with a name for everything up to its end.
-fn parts(meta: &Meta) -> Vec<Part> {
+fn parts(meta: &Meta) -> Vec<PrefixBlock> {
     let mut chain = xxh3_64(format!("{:?}/{:?}", meta.model, meta.adapter).as_bytes());
     let part = |(id, tokens): &(u64, u64)| {
         chain = xxh3_64_with_seed(&id.to_le_bytes(), chain);
-        Part {
+        PrefixBlock {
             chain,
             tokens: u32::try_from(*tokens).unwrap_or(u32::MAX),
         }
--- a/crates/stair-relay/src/allowance.rs
+++ b/crates/stair-relay/src/allowance.rs
@@ -18,15 +18,15 @@
 };
 
 use stair_fleet::{
-    allowance::{
-        Answer,
-        Ask,
+    msg::ToAgent,
+    quota::{
         Bucket,
+        Reply,
+        Request,
         share, //
     },
-    msg::ToAgent,
     workspace::{
-        Allowance,
+        Quota,
         Workspace, //
     },
 };
@@ -82,7 +82,7 @@
     workspace: Box<str>,
     cost: f64,
     /// `None` for a request that did not wait.
-    tx: Option<oneshot::Sender<Answer>>,
+    tx: Option<oneshot::Sender<Reply>>,
 }
 
 /// Who counted a request.
@@ -121,7 +121,7 @@
             CountedBy::Entry => {
                 let shares = &mut state.allowances.shares;
                 if let Ok(i) = position(shares, &self.workspace) {
-                    shares[i].1.give_back(self.cost, now);
+                    shares[i].1.refund(self.cost, now);
                 }
             }
         }
@@ -150,21 +150,21 @@
     workspace: &Workspace,
     opts: &Options<'_>,
 ) -> Result<Option<Grant>, Refusal> {
-    let Some(allowance) = workspace.allowance else {
+    let Some(allowance) = workspace.quota else {
         return Ok(None);
     };
     let cost = allowance.unit.cost(opts.tokens);
-    let mut ask = Ask {
+    let mut ask = Request {
         workspace: workspace.name.clone(),
         version: opts.version,
-        allowance,
+        quota: allowance,
         cost,
-        limit: opts.objective / WAIT_PART,
-        passed: false,
+        max_wait: opts.objective / WAIT_PART,
+        admitted: false,
         stand_in: false,
     };
     let small = cost <= allowance.burst * SMALL_PART;
-    ask.passed = small && !cx.state().allowances.owes(&ask.workspace, cx.now());
+    ask.admitted = small && !cx.state().allowances.owes(&ask.workspace, cx.now());
     let (answer, by) = match ask_agents(cx, &mut ask).await {
         Some(both) => both,
         None => (take_share(cx, &ask), CountedBy::Entry),
@@ -189,13 +189,13 @@
         sent: AtomicBool::new(false),
     };
     // A request that does not wait has nothing to do with what its workspace owes.
-    if !ask.passed && !answer.wait.is_zero() {
+    if !ask.admitted && !answer.wait.is_zero() {
         sleep(answer.wait).await;
     }
     Ok(Some(grant))
 }
 
-fn count(cx: &Context, answer: &Answer, by: CountedBy) {
+fn count(cx: &Context, answer: &Reply, by: CountedBy) {
     let by = match by {
         CountedBy::Agent(_) => "agent",
         CountedBy::Entry => "entry",
@@ -205,13 +205,13 @@
     cx.page.count("allowances_total", &labels, 1);
 }
 
-async fn ask_agents(cx: &Arc<Context>, ask: &mut Ask) -> Option<(Answer, CountedBy)> {
+async fn ask_agents(cx: &Arc<Context>, ask: &mut Request) -> Option<(Reply, CountedBy)> {
     for _ in 0..MAX_ASKED {
         let now = cx.now();
         let (engine, rx) = cx.state().ask_allowance(ask, now)?;
         let by = CountedBy::Agent(engine);
         let Some(rx) = rx else {
-            let answer = Answer {
+            let answer = Reply {
                 granted: true,
                 wait: Duration::ZERO,
             };
@@ -230,10 +230,10 @@
 }
 
 /// Takes from this entry's own part.
-fn take_share(cx: &Context, ask: &Ask) -> Answer {
+fn take_share(cx: &Context, ask: &Request) -> Reply {
     let now = cx.now();
     let entries = cx.entries();
-    let part: Allowance = share(ask.allowance, entries);
+    let part: Quota = share(ask.quota, entries);
     let mut state = cx.state();
     let shares = &mut state.allowances.shares;
     let i = position(shares, &ask.workspace).unwrap_or_else(|i| {
@@ -242,11 +242,11 @@
     });
     let bucket = &mut shares[i].1;
     bucket.set(part, now);
-    bucket.spend(ask.cost, ask.limit, now)
+    bucket.spend(ask.cost, ask.max_wait, now)
 }
 
 /// Takes in an agent's answer.
-pub(crate) fn answered(cx: &Context, engine: SocketAddr, seq: u64, answer: Answer) {
+pub(crate) fn answered(cx: &Context, engine: SocketAddr, seq: u64, answer: Reply) {
     let now = cx.now();
     let mut state = cx.state();
     let open = &mut state.allowances.open;
@@ -291,19 +291,19 @@
     /// Asks the agent that counts a workspace. The receiver is missing for a request that does not wait.
     fn ask_allowance(
         &mut self,
-        ask: &mut Ask,
+        ask: &mut Request,
         now: Duration,
-    ) -> Option<(SocketAddr, Option<oneshot::Receiver<Answer>>)> {
+    ) -> Option<(SocketAddr, Option<oneshot::Receiver<Reply>>)> {
         let home = self.home(&ask.workspace, now)?;
         ask.stand_in = home.stand_in;
         let seq = self.next_seq();
         let i = self.agent(home.engine)?;
-        let msg = ToAgent::Allow {
+        let msg = ToAgent::QuotaRequest {
             seq,
-            ask: ask.clone(),
+            request: ask.clone(),
         };
         self.agents[i].tx.try_send(msg).ok()?;
-        let (tx, rx) = match ask.passed {
+        let (tx, rx) = match ask.admitted {
             true => (None, None),
             false => {
                 let (tx, rx) = oneshot::channel();
@@ -322,7 +322,7 @@
 
     fn give_back(&self, engine: SocketAddr, workspace: &str, cost: f64) {
         if let Some(i) = self.agent(engine) {
-            let msg = ToAgent::GiveBack {
+            let msg = ToAgent::QuotaRefund {
                 workspace: workspace.into(),
                 cost,
             };
--- a/crates/stair-relay/src/context.rs
+++ b/crates/stair-relay/src/context.rs
@@ -37,8 +37,8 @@
         ToAgent, //
     },
     prefill::{
-        Answer,
-        Read, //
+        Measurement, //
+        Reply,
     },
     target_state::HEARTBEAT_TIMEOUT,
     view::TargetKey, //
@@ -143,11 +143,11 @@
     /// The last life that the engine has said it is not.
     pub former: Option<Box<str>>,
     /// How long prompts took to be read, that the agent has not been told.
-    pub read: Vec<Read>,
+    pub read: Vec<Measurement>,
     /// Questions that wait for their answer.
     pub waiting: Vec<(u64, oneshot::Sender<Outcome>)>,
     /// Prompts that wait to be told their slot.
-    pub reservations: Vec<(u64, oneshot::Sender<Answer>)>,
+    pub reservations: Vec<(u64, oneshot::Sender<Reply>)>,
 }
 
 impl Context {
--- a/crates/stair-relay/src/context/agents.rs
+++ b/crates/stair-relay/src/context/agents.rs
@@ -12,9 +12,9 @@
         ToAgent, //
     },
     prefill::{
-        Answer,
-        Ask,
-        Read, //
+        Measurement, //
+        Reply,
+        Request,
     },
     view::TargetKey, //
 };
@@ -32,7 +32,7 @@
         let state = self.state();
         if let Some(i) = state.agent(engine) {
             // An agent that does not read finds out by its own orders.
-            let _ = state.agents[i].tx.try_send(ToAgent::Former(id));
+            let _ = state.agents[i].tx.try_send(ToAgent::StaleIncarnation(id));
         }
     }
 
@@ -77,21 +77,23 @@
         let mut state = self.state();
         let engine = state.view.get(key).target.addr;
         if let Some(i) = state.agent(engine) {
-            state.agents[i].read.push(Read {
+            state.agents[i].read.push(Measurement {
                 model: model.into(),
-                reads,
+                prefill_time: reads,
                 took,
             });
         }
     }
 
     /// Asks the agent of an engine for a prompt's prefill slot. `None` when there is no link.
-    pub fn reserve(&self, engine: SocketAddr, ask: Ask) -> Option<oneshot::Receiver<Answer>> {
+    pub fn reserve(&self, engine: SocketAddr, ask: Request) -> Option<oneshot::Receiver<Reply>> {
         let mut state = self.state();
         let seq = state.next_seq();
         let i = state.agent(engine)?;
         let link = &mut state.agents[i];
-        link.tx.try_send(ToAgent::Prefill { seq, ask }).ok()?;
+        link.tx
+            .try_send(ToAgent::Prefill { seq, request: ask })
+            .ok()?;
         let (tx, rx) = oneshot::channel();
         link.reservations.push((seq, tx));
         Some(rx)
--- a/crates/stair-relay/src/context/usage.rs
+++ b/crates/stair-relay/src/context/usage.rs
@@ -4,7 +4,7 @@
 
 use stair_fleet::{
     msg::Used,
-    prefill::Read, //
+    prefill::Measurement, //
 };
 
 use super::State;
@@ -50,7 +50,7 @@
     }
 
     /// Takes how long prompts took to be read at an engine since its agent was told.
-    pub fn take_read(&mut self, engine: SocketAddr) -> Vec<Read> {
+    pub fn take_read(&mut self, engine: SocketAddr) -> Vec<Measurement> {
         let i = self.agent(engine);
         i.map_or_else(Vec::new, |i| std::mem::take(&mut self.agents[i].read))
     }
--- a/crates/stair-relay/src/job.rs
+++ b/crates/stair-relay/src/job.rs
@@ -34,7 +34,7 @@
         Engine,
         Route, //
     },
-    prefill::Part,
+    prefill::PrefixBlock,
     workspace::Workspace, //
 };
 use stair_types::{
@@ -71,7 +71,7 @@
     /// Tokens of the prompt's head that other requests share, and its hash.
     pub shared: Option<(u64, u64)>,
     /// The parts of its prompt.
-    pub parts: Vec<Part>,
+    pub parts: Vec<PrefixBlock>,
     /// The shortest objective of more urgent requests to the service, which go first.
     pub more_urgent: Option<Duration>,
     /// The shortest pause between events that clients of the service's streams are promised.
--- a/crates/stair-relay/src/links.rs
+++ b/crates/stair-relay/src/links.rs
@@ -251,7 +251,7 @@
             ToEntry::Load(load) => {
                 cx.state().view.set_load_at(engine, *load, now);
             }
-            ToEntry::Done { seq, outcome } => {
+            ToEntry::LoadReply { seq, outcome } => {
                 let waiting = {
                     let mut state = cx.state();
                     let Some(i) = state.agent(engine) else {
@@ -264,7 +264,7 @@
                 // The request that asked may have been given up.
                 waiting.map(|tx| tx.send(outcome));
             }
-            ToEntry::Prefill { seq, answer } => {
+            ToEntry::Prefill { seq, reply: answer } => {
                 let mut state = cx.state();
                 let Some(i) = state.agent(engine) else {
                     return Ended::Closed;
@@ -278,9 +278,11 @@
                 // The request that asked may have been given up.
                 asked.map(|tx| tx.send(answer));
             }
-            ToEntry::Allowed { seq, answer } => allowance::answered(cx, engine, seq, answer),
-            ToEntry::Former(id) => receive_former(cx, engine, id),
-            ToEntry::Declare => declare(cx, engine),
+            ToEntry::QuotaReply { seq, reply: answer } => {
+                allowance::answered(cx, engine, seq, answer)
+            }
+            ToEntry::StaleIncarnation(id) => receive_former(cx, engine, id),
+            ToEntry::DeclarationRequest => declare(cx, engine),
             ToEntry::Quarantine(msg) => quarantine::receive(cx, engine, msg),
             ToEntry::Peers(peers) => {
                 let mut state = cx.state();
@@ -302,7 +304,7 @@
     let service = state.view.at(engine).map(|(_, s)| &*s.target.service);
     let decl = service.and_then(|s| catalogue.service(s)?.engine.clone());
     if let Some(engine) = decl {
-        let msg = ToAgent::Engine {
+        let msg = ToAgent::Declaration {
             version: catalogue.version,
             engine,
         };
@@ -390,7 +392,7 @@
         let life = Some((id.clone(), started));
         if sent.life != life {
             let revision = state.view.revision;
-            out.push(ToAgent::Instance { id, revision });
+            out.push(ToAgent::Incarnation { id, revision });
             sent.life = life;
         }
     }
@@ -400,7 +402,7 @@
     }
     let read = state.take_read(engine);
     if !read.is_empty() {
-        out.push(ToAgent::Read(read));
+        out.push(ToAgent::PrefillTimes(read));
     }
     out
 }
--- a/crates/stair-relay/src/load.rs
+++ b/crates/stair-relay/src/load.rs
@@ -223,7 +223,7 @@
         victims: at.victims.clone(),
         fetch: (at.from == CopyLocation::Store).then_some(together),
         prefetch,
-        of_use,
+        timeout: of_use,
     };
     let pending = cx.request_load(addr, req)?;
     let from = [("from", source(at.from))];
--- a/crates/stair-relay/src/pick.rs
+++ b/crates/stair-relay/src/pick.rs
@@ -388,7 +388,7 @@
         victims: Vec::new(),
         fetch: None,
         prefetch: false,
-        of_use: ADAPTER_TIME,
+        timeout: ADAPTER_TIME,
     };
     let begun = Instant::now();
     let Some(mut pending) = cx.request_load(addr, req) else {
--- a/crates/stair-relay/src/prefetch.rs
+++ b/crates/stair-relay/src/prefetch.rs
@@ -72,7 +72,7 @@
 fn leads(cx: &Context) -> bool {
     let state = cx.state();
     let peers = state.peers.as_ref();
-    peers.is_none_or(|(p, _)| p.least >= cx.settings.name)
+    peers.is_none_or(|(p, _)| p.least_name >= cx.settings.name)
 }
 
 fn next(cx: &Context, asked: &[Asked]) -> Option<prefetch::Outcome> {
--- a/crates/stair-relay/src/prefill.rs
+++ b/crates/stair-relay/src/prefill.rs
@@ -6,7 +6,7 @@
 };
 
 use stair_fleet::{
-    prefill::Ask,
+    prefill::Request,
     view::TargetKey, //
 };
 use stair_telemetry::event::Line;
@@ -82,12 +82,12 @@
         None => of_use,
     };
     let spare = job.more_urgent.map(late_wait);
-    let ask = Ask {
+    let ask = Request {
         model: model.into(),
-        parts: job.parts.clone(),
+        blocks: job.parts.clone(),
         tokens: u32::try_from(job.meta.prompt_tokens).unwrap_or(u32::MAX),
-        limit,
-        spare,
+        max_wait: limit,
+        urgent_max_wait: spare,
         pause: job.pause,
         first: opts.first,
     };
@@ -102,7 +102,7 @@
         return Reservation::Now(Prompt::default());
     };
     cx.page.time("turn_wait_ms", &[], answer.wait);
-    if !answer.booked {
+    if !answer.reserved {
         Line::new("turn.full")
             .text("id", &job.meta.id)
             .show("addr", addr)
@@ -121,8 +121,8 @@
         sleep(answer.wait).await;
     }
     Reservation::Now(Prompt {
-        kept: answer.kept,
-        reads: answer.reads,
+        kept: answer.cached,
+        reads: answer.prefill_time,
     })
 }
 
--- a/crates/stair-sidecar/src/allowances.rs
+++ b/crates/stair-sidecar/src/allowances.rs
@@ -1,6 +1,6 @@
 //! Counts the allowances of workspaces for all entries.
 //!
-//! Which agent counts a workspace is the entries' choice; see [`allowance`](stair_fleet::allowance) for what
+//! Which agent counts a workspace is the entries' choice; see [`quota`](stair_fleet::quota) for what
 //! holds when they do not agree.
 
 use std::{
@@ -13,11 +13,11 @@
     time::Duration,
 };
 
-use stair_fleet::allowance::{
-    Answer,
-    Ask,
+use stair_fleet::quota::{
     Crossing,
     Ledger, //
+    Reply,
+    Request,
 };
 use stair_telemetry::{
     event::Line,
@@ -43,9 +43,9 @@
     }
 
     /// Answers an entry.
-    pub fn ask(&self, ask: &Ask) -> Answer {
+    pub fn ask(&self, ask: &Request) -> Reply {
         let now = self.now();
-        let (answer, crossing) = self.lock().ask(ask, now);
+        let (answer, crossing) = self.lock().handle(ask, now);
         if let Some(crossing) = crossing {
             let event = match crossing {
                 Crossing::Over => "allowance.over",
@@ -54,8 +54,8 @@
             Line::failure(event)
                 .text("workspace", &ask.workspace)
                 .num("catalogue", ask.version)
-                .num("per_s", ask.allowance.per_s as i64)
-                .num("burst", ask.allowance.burst as i64)
+                .num("per_s", ask.quota.per_s as i64)
+                .num("burst", ask.quota.burst as i64)
                 .ms("wait_ms", answer.wait)
                 .flag("stand_in", ask.stand_in)
                 .write();
@@ -69,7 +69,7 @@
     /// Gives back what a request has cost that was not run.
     pub fn give_back(&self, workspace: &str, cost: f64) {
         let now = self.now();
-        self.lock().give_back(workspace, cost, now);
+        self.lock().refund(workspace, cost, now);
     }
 
     /// What is left of each.
--- a/crates/stair-sidecar/src/controller.rs
+++ b/crates/stair-sidecar/src/controller.rs
@@ -282,7 +282,7 @@
                 victims: Vec::new(),
                 fetch: None,
                 prefetch: true,
-                of_use: RESTORE_TIME,
+                timeout: RESTORE_TIME,
             };
             self.load_requests.push(Pending {
                 asker,
@@ -385,7 +385,7 @@
         if self.ready(&p.req) {
             return Some(Outcome::Ready);
         }
-        if p.failed || now.saturating_sub(p.since) > p.req.of_use {
+        if p.failed || now.saturating_sub(p.since) > p.req.timeout {
             return Some(Outcome::Failed);
         }
         if !control || !self.alive || self.reading.is_none() || self.decl.is_none() {
--- a/crates/stair-sidecar/src/controller/plan.rs
+++ b/crates/stair-sidecar/src/controller/plan.rs
@@ -81,7 +81,7 @@
         hopeless.sort_unstable();
         for i in hopeless.into_iter().rev() {
             let p = self.load_requests.remove(i);
-            refused.push((p.asker, Outcome::NoRoom));
+            refused.push((p.asker, Outcome::NoCapacity));
         }
         step
     }
--- a/crates/stair-sidecar/src/links.rs
+++ b/crates/stair-sidecar/src/links.rs
@@ -111,13 +111,13 @@
 ) {
     while let Ok(Ok(msg)) = timeout(SILENCE, frame::read_message(&mut r)).await {
         let msg = match msg {
-            ToAgent::Allow { seq, ask } => {
+            ToAgent::QuotaRequest { seq, request: ask } => {
                 let answer = ledgers.allowances.ask(&ask);
                 // An entry that does not read asks another agent.
-                let _ = tx.try_send(ToEntry::Allowed { seq, answer });
+                let _ = tx.try_send(ToEntry::QuotaReply { seq, reply: answer });
                 continue;
             }
-            ToAgent::GiveBack { workspace, cost } => {
+            ToAgent::QuotaRefund { workspace, cost } => {
                 ledgers.allowances.give_back(&workspace, cost);
                 continue;
             }
--- a/crates/stair-sidecar/src/process.rs
+++ b/crates/stair-sidecar/src/process.rs
@@ -398,7 +398,7 @@
                 .show("outcome", format_args!("{outcome:?}"))
                 .write();
             let link = self.links.iter().find(|l| l.key == asker.link);
-            let done = ToEntry::Done {
+            let done = ToEntry::LoadReply {
                 seq: asker.seq,
                 outcome,
             };
--- a/crates/stair-sidecar/src/process/dump.rs
+++ b/crates/stair-sidecar/src/process/dump.rs
@@ -4,10 +4,10 @@
 
 use serde::Serialize;
 use stair_fleet::{
-    allowance::Ledger,
     msg::ReplicationState,
     prefill::Rate,
     quarantine,
+    quota::Ledger,
     target::{
         Inventory,
         Load, //
--- a/crates/stair-sidecar/src/process/publish.rs
+++ b/crates/stair-sidecar/src/process/publish.rs
@@ -4,7 +4,7 @@
 
 use stair_fleet::{
     msg::{
-        Fleet,
+        EntrySet,
         Peers,
         ReplicationState,
         ToEntry, //
@@ -37,7 +37,7 @@
     /// Tells entries of the others when the least name, their number or who watches the store for them
     /// changes.
     pub(super) fn publish_peers(&mut self) {
-        let fleet = Fleet::of(&self.replication_states());
+        let fleet = EntrySet::of(&self.replication_states());
         for link in &mut self.links {
             let Some(own) = &link.known else { continue };
             let peers = fleet.peers(own);
@@ -71,7 +71,7 @@
         }
         let link = self.links.iter().find(|l| l.key == key);
         // A full queue belongs to an entry that does not read; the next one that speaks is asked.
-        if link.is_some_and(|l| l.tx.try_send(ToEntry::Declare).is_ok()) {
+        if link.is_some_and(|l| l.tx.try_send(ToEntry::DeclarationRequest).is_ok()) {
             self.asked_declared = Some(Instant::now());
         }
     }
@@ -143,7 +143,7 @@
         };
         let holds = ToEntry::Inventory(Box::new(self.controller.held()));
         let load = ToEntry::Load(Box::new(self.load()));
-        let former = self.former.clone().map(ToEntry::Former);
+        let former = self.former.clone().map(ToEntry::StaleIncarnation);
         for msg in [holds, load].into_iter().chain(former) {
             if link.tx.try_send(msg).is_err() {
                 self.page.count("untold_total", &[], 1);
--- a/crates/stair-sidecar/src/process/receive.rs
+++ b/crates/stair-sidecar/src/process/receive.rs
@@ -5,7 +5,7 @@
         ToAgent,
         ToEntry, //
     },
-    prefill::Answer,
+    prefill::Reply,
 };
 use stair_telemetry::event::Line;
 
@@ -57,7 +57,7 @@
                     self.ask_declared(key);
                 }
             }
-            ToAgent::Engine { version, engine } if version >= self.declared => {
+            ToAgent::Declaration { version, engine } if version >= self.declared => {
                 if version > self.declared {
                     Line::new("declared").num("version", version).write();
                 }
@@ -66,15 +66,15 @@
                 self.controller.declare(engine);
             }
             // An entry that lags sends what is no longer in force.
-            ToAgent::Engine { .. } => {}
-            ToAgent::Instance { id, revision } => {
+            ToAgent::Declaration { .. } => {}
+            ToAgent::Incarnation { id, revision } => {
                 self.learn_instance(id, revision);
                 // The entry begins with this life and knows nothing of what it holds: what was told
                 // before it knew of this life counted for the one before, and a model on the disk
                 // would be fetched from the weight store.
                 self.publish_all(key);
             }
-            ToAgent::Former(id) => self.receive_former(id),
+            ToAgent::StaleIncarnation(id) => self.receive_former(id),
             ToAgent::LoadRequest(req) => {
                 let seq = req.seq;
                 Line::new("want")
@@ -89,27 +89,29 @@
                 Line::new("want.taken_back").num("seq", seq).write();
                 self.controller.cancel(Asker { link: key, seq });
             }
-            ToAgent::Prefill { seq, ask } => {
+            ToAgent::Prefill { seq, request: ask } => {
                 let answer = if self.controller.is_leaving(&ask.model) {
-                    Answer::leaving(&ask)
+                    Reply::model_draining(&ask)
                 } else {
                     self.prefills
-                        .ask(&ask, self.controller.memory_tokens(), now)
+                        .reserve(&ask, self.controller.memory_tokens(), now)
                 };
                 // One that asks again has been counted.
-                if answer.booked || ask.first {
-                    let work = self.prefills.work(&ask, answer.kept);
-                    self.controller.prompt(&ask.model, answer.booked, work, now);
+                if answer.reserved || ask.first {
+                    let work = self.prefills.prefill_time(&ask, answer.cached);
+                    self.controller
+                        .prompt(&ask.model, answer.reserved, work, now);
                 }
                 let link = self.links.iter().find(|l| l.key == key);
                 // An entry that does not read goes without its slot.
-                link.map(|l| l.tx.try_send(ToEntry::Prefill { seq, answer }));
+                link.map(|l| l.tx.try_send(ToEntry::Prefill { seq, reply: answer }));
             }
             ToAgent::Unserved(model) => self.controller.count_unserved(&model, now),
             ToAgent::Used(list) => self.controller.used(key, &list, now),
-            ToAgent::Read(list) => list.iter().for_each(|r| self.prefills.learn(r)),
+            ToAgent::PrefillTimes(list) => list.iter().for_each(|r| self.prefills.record(r)),
             // Answered by the link itself.
-            ToAgent::Allow { .. } | ToAgent::GiveBack { .. } | ToAgent::Quarantine(_) => {}
+            ToAgent::QuotaRequest { .. } | ToAgent::QuotaRefund { .. } | ToAgent::Quarantine(_) => {
+            }
         }
     }
 
@@ -126,7 +128,7 @@
             self.instance = None;
         }
         self.former = Some(id.clone());
-        self.broadcast(&ToEntry::Former(id));
+        self.broadcast(&ToEntry::StaleIncarnation(id));
     }
 
     pub(super) fn learn_instance(&mut self, id: Box<str>, revision: u64) {
--- a/crates/stair-sidecar/tests/controller.rs
+++ b/crates/stair-sidecar/tests/controller.rs
@@ -79,7 +79,7 @@
         victims: Vec::new(),
         fetch: None,
         prefetch: false,
-        of_use: Duration::from_secs(14),
+        timeout: Duration::from_secs(14),
     }
 }
 
@@ -234,7 +234,7 @@
     let mut ctl = controller(&[("a", &[])]);
     let prefetch = LoadRequest {
         prefetch: true,
-        of_use: Duration::from_secs(14),
+        timeout: Duration::from_secs(14),
         ..req("b", None)
     };
     ctl.request_load(asker(1), prefetch, ms(0));
--- a/crates/stair-sidecar/tests/load.rs
+++ b/crates/stair-sidecar/tests/load.rs
@@ -324,7 +324,7 @@
                         victims: at.victims,
                         fetch: (at.from == CopyLocation::Store).then_some(1),
                         prefetch: false,
-                        of_use: PATIENCE - (now - w.since),
+                        timeout: PATIENCE - (now - w.since),
                     };
                     let asker = Asker {
                         link: LinkKey(w.entry as u64),
--- a/crates/stair-sidecar/tests/random.rs
+++ b/crates/stair-sidecar/tests/random.rs
@@ -186,7 +186,7 @@
                         victims: Vec::new(),
                         fetch: Some(1),
                         prefetch: false,
-                        of_use: Duration::from_secs(14),
+                        timeout: Duration::from_secs(14),
                     };
                     controller.request_load(asker, req, now);
                 }
