--- a/crates/stair-fleet/src/balance.rs
+++ b/crates/stair-fleet/src/balance.rs
@@ -11,7 +11,7 @@
 use crate::{
     catalogue::Engine,
     cold_start,
-    prefetch::Asked,
+    prefetch::RequestedLoad,
     target::CopyLocation,
     target_state::TargetState,
     view::{
@@ -21,39 +21,39 @@
 };
 
 /// Expected queue of a model without a replica, per request a second: the seconds of a swap.
-const ABSENT_PER_S: f64 = 1.0;
+const ABSENT_QUEUE_PER_RATE: f64 = 1.0;
 
 /// The least expected queue of a model without a replica.
-const ABSENT: f64 = 0.1;
+const MIN_ABSENT_QUEUE: f64 = 0.1;
 
 /// The least gain of a move that evicts nothing, in waiting requests.
-const MARGIN_FREE: f64 = 0.02;
+const MIN_GAIN_WITHOUT_EVICTION: f64 = 0.02;
 
 /// The same with evictions. Rates waver, and without a margin the next look would undo the move.
-const MARGIN_VICTIMS: f64 = 0.125;
+const MIN_GAIN_WITH_EVICTION: f64 = 0.125;
 
 /// The same for a load from the weight store, which lasts about as long as demand stays.
-const MARGIN_STORE: f64 = 0.2;
+const MIN_GAIN_FROM_STORE: f64 = 0.2;
 
 /// Part of the gain that is left when a victim has requests in flight: its engine takes no order until they end.
-const BUSY_PART: f64 = 0.5;
+const BUSY_VICTIM_FRACTION: f64 = 0.5;
 
 /// Models considered for a load from the weight store: those with the busiest replicas.
-const STORE_MODELS: usize = 3;
+const MAX_STORE_MODELS: usize = 3;
 
 /// Engines considered for such a load: those with the least to do.
-const STORE_ENGINES: usize = 8;
+const MAX_STORE_ENGINES: usize = 8;
 
 /// One engine.
-struct Node<'a> {
+struct TargetLoad<'a> {
     key: TargetKey,
     state: &'a TargetState,
     /// Whether it can be ordered to load now.
-    free: bool,
+    can_load: bool,
     /// Models that it holds or is loading.
     models: Vec<usize>,
     /// Part of its time that prompts take.
-    work: f64,
+    prefill_fraction: f64,
 }
 
 /// One model.
@@ -61,19 +61,19 @@
 struct Demand {
     per_s: f64,
     /// Part of one engine's time that its prompts take.
-    work: f64,
-    nodes: Vec<usize>,
+    prefill_fraction: f64,
+    targets: Vec<usize>,
 }
 
 impl Demand {
     fn share(&self) -> f64 {
-        self.share_of(self.nodes.len())
+        self.share_of(self.targets.len())
     }
 
     fn share_of(&self, replicas: usize) -> f64 {
         match replicas {
             0 => 0.0,
-            n => self.work / n as f64,
+            n => self.prefill_fraction / n as f64,
         }
     }
 }
@@ -81,7 +81,7 @@
 /// A move: a load, and what makes way for it.
 struct Move {
     model: usize,
-    node: usize,
+    target: usize,
     from: CopyLocation,
     victims: Vec<usize>,
     gain: f64,
@@ -89,9 +89,9 @@
 
 struct Plan<'a> {
     engine: &'a Engine,
-    nodes: Vec<Node<'a>>,
+    targets: Vec<TargetLoad<'a>>,
     models: Vec<Demand>,
-    room_mb: f64,
+    model_memory_mb: f64,
     now: Duration,
 }
 
@@ -105,9 +105,9 @@
     /// What it declares.
     pub engine: &'a Engine,
     /// Loads that were asked for; they count as replicas.
-    pub asked: &'a [Asked],
+    pub requested: &'a [RequestedLoad],
     /// Engines that get no order.
-    pub left_alone: &'a [TargetKey],
+    pub excluded: &'a [TargetKey],
     /// Whether a load from the weight store may begin.
     pub store: bool,
 }
@@ -128,17 +128,17 @@
 pub fn next(opts: &Options<'_>, now: Duration) -> Option<Outcome> {
     let engine = opts.engine;
     let plan = Plan::new(opts, now);
-    let near = plan.near();
-    let best = match near {
+    let local = plan.best_local();
+    let best = match local {
         Some(m) => m,
-        None if opts.store => plan.fetch(opts)?,
+        None if opts.store => plan.best_from_store(opts)?,
         None => return None,
     };
     let decl = &engine.models[best.model];
     let ready_in = decl.load_time(best.from);
     let name = |m: &usize| engine.models[*m].name.clone();
     let place = cold_start::Outcome {
-        key: plan.nodes[best.node].key,
+        key: plan.targets[best.target].key,
         from: best.from,
         ready_in,
         victims: best.victims.iter().map(name).collect(),
@@ -159,94 +159,113 @@
             let found = engine.models.binary_search_by(|m| (*m.name).cmp(name));
             found.ok()
         };
-        let mut nodes = Vec::new();
+        let mut targets = Vec::new();
         for (key, state) in opts
             .view
             .of(opts.service)
             .filter(|(_, s)| s.is_available(now))
         {
             let report = state.fresh_report(now);
-            let held = state.inventory(now).models.iter().map(|h| &h.name);
+            let loaded = state.inventory(now).models.iter().map(|h| &h.name);
             let loading = report.and_then(|r| r.load.loading.as_ref());
-            let held = held.filter(|n| state.can_run(n, now));
-            let asked = opts.asked.iter().filter(|a| a.key == key).map(|a| &a.model);
-            let names = held.chain(loading.map(|l| &l.model)).chain(asked);
+            let loaded = loaded.filter(|n| state.can_run(n, now));
+            let requested = opts
+                .requested
+                .iter()
+                .filter(|a| a.key == key)
+                .map(|a| &a.model);
+            let names = loaded.chain(loading.map(|l| &l.model)).chain(requested);
             let mut here: Vec<usize> = names.filter_map(|n| index(n)).collect();
             here.sort_unstable();
             here.dedup();
             for m in &here {
-                models[*m].nodes.push(nodes.len());
+                models[*m].targets.push(targets.len());
             }
             for usage in report.iter().flat_map(|r| &r.load.usage) {
                 if let Some(m) = index(&usage.model) {
                     models[m].per_s += f64::from(usage.per_s);
-                    models[m].work += f64::from(usage.prefill_fraction);
+                    models[m].prefill_fraction += f64::from(usage.prefill_fraction);
                 }
             }
             let idle = report.is_some_and(|r| {
                 r.load.loading.is_none() && !r.load.unloading && r.load.queued_load_time.is_zero()
             });
-            nodes.push(Node {
+            targets.push(TargetLoad {
                 key,
                 state,
-                free: idle && !opts.left_alone.contains(&key),
+                can_load: idle && !opts.excluded.contains(&key),
                 models: here,
-                work: 0.0,
+                prefill_fraction: 0.0,
             });
         }
-        for node in &mut nodes {
-            node.work = node.models.iter().map(|m| models[*m].share()).sum();
+        for target in &mut targets {
+            target.prefill_fraction = target.models.iter().map(|m| models[*m].share()).sum();
         }
-        let room_mb = engine.weights_mb - cold_start::adapters_mb(engine);
+        let model_memory_mb = engine.weights_mb - cold_start::adapters_mb(engine);
         Self {
             engine,
-            nodes,
+            targets,
             models,
-            room_mb,
+            model_memory_mb,
             now,
         }
     }
 
     /// The best move from a copy at an engine.
-    fn near(&self) -> Option<Move> {
+    fn best_local(&self) -> Option<Move> {
         let mut best: Option<Move> = None;
-        for (n, node) in self.nodes.iter().enumerate().filter(|(_, n)| n.free) {
-            let inventory = node.state.inventory(self.now);
+        for (n, target) in self.targets.iter().enumerate().filter(|(_, n)| n.can_load) {
+            let inventory = target.state.inventory(self.now);
             for (m, decl) in self.engine.models.iter().enumerate() {
                 let from = inventory.copy(&decl.name);
-                if from == CopyLocation::Store || !self.needs_replica(m) {
+                if from == CopyLocation::Store || !self.may_need_replica(m) {
                     continue;
                 }
-                best = better(best, self.at(m, n, from, MARGIN_FREE, MARGIN_VICTIMS));
+                best = better(
+                    best,
+                    self.best_at(
+                        m,
+                        n,
+                        from,
+                        MIN_GAIN_WITHOUT_EVICTION,
+                        MIN_GAIN_WITH_EVICTION,
+                    ),
+                );
             }
         }
         best
     }
 
     /// The best move from the weight store, among the busiest models and the idlest engines.
-    fn fetch(&self, opts: &Options<'_>) -> Option<Move> {
+    fn best_from_store(&self, opts: &Options<'_>) -> Option<Move> {
         let mut models: Vec<usize> = (0..self.models.len())
-            .filter(|m| self.needs_replica(*m))
+            .filter(|m| self.may_need_replica(*m))
             .collect();
         models.sort_by(|a, b| {
             let share = |m: &usize| self.models[*m].share();
             share(b).total_cmp(&share(a))
         });
-        let mut nodes: Vec<usize> = (0..self.nodes.len())
-            .filter(|n| self.nodes[*n].free)
+        let mut targets: Vec<usize> = (0..self.targets.len())
+            .filter(|n| self.targets[*n].can_load)
             .filter(|n| {
-                let state = self.nodes[*n].state;
+                let state = self.targets[*n].state;
                 !cold_start::has_last_copy(opts.view, opts.service, state, self.now)
             })
             .collect();
-        nodes.sort_by(|a, b| {
-            let work = |n: &usize| self.nodes[*n].work;
-            work(a).total_cmp(&work(b))
+        targets.sort_by(|a, b| {
+            let prefill_fraction = |n: &usize| self.targets[*n].prefill_fraction;
+            prefill_fraction(a).total_cmp(&prefill_fraction(b))
         });
         let mut best = None;
-        for m in models.iter().take(STORE_MODELS) {
-            for n in nodes.iter().take(STORE_ENGINES) {
-                let found = self.at(*m, *n, CopyLocation::Store, MARGIN_STORE, MARGIN_STORE);
+        for m in models.iter().take(MAX_STORE_MODELS) {
+            for n in targets.iter().take(MAX_STORE_ENGINES) {
+                let found = self.best_at(
+                    *m,
+                    *n,
+                    CopyLocation::Store,
+                    MIN_GAIN_FROM_STORE,
+                    MIN_GAIN_FROM_STORE,
+                );
                 best = better(best, found);
             }
         }
@@ -254,29 +273,30 @@
     }
 
     /// Whether a further replica of a model could be worth anything.
-    fn needs_replica(&self, model: usize) -> bool {
+    fn may_need_replica(&self, model: usize) -> bool {
         let demand = &self.models[model];
         let alone = demand.share();
         // The most that a move can take off: an engine with nothing else to do takes half of it.
-        !demand.nodes.is_empty() && alone * demand.work / 2.0 > MARGIN_FREE
+        !demand.targets.is_empty()
+            && alone * demand.prefill_fraction / 2.0 > MIN_GAIN_WITHOUT_EVICTION
     }
 
     /// The best way to bring a model to an engine, if it is worth the margin.
-    fn at(
+    fn best_at(
         &self,
         model: usize,
-        node: usize,
+        target: usize,
         from: CopyLocation,
-        margin_free: f64,
-        margin_victims: f64,
+        min_gain_without_eviction: f64,
+        min_gain_with_eviction: f64,
     ) -> Option<Move> {
-        let here = &self.nodes[node].models;
+        let here = &self.targets[target].models;
         if here.contains(&model) {
             return None;
         }
         let size = |m: &usize| self.engine.models[*m].weights_mb;
         let taken: f64 = here.iter().map(size).sum();
-        let needed = taken + size(&model) - self.room_mb;
+        let needed = taken + size(&model) - self.model_memory_mb;
         let mut best = None;
         // An engine holds three models at most, or a few small ones.
         for set in 0..1u32 << here.len().min(8) {
@@ -289,15 +309,15 @@
             if freed < needed || needless {
                 continue;
             }
-            let gain = self.gain(model, node, &victims);
-            let margin = match victims.is_empty() {
-                true => margin_free,
-                false => margin_victims,
+            let gain = self.gain(model, target, &victims);
+            let min_gain = match victims.is_empty() {
+                true => min_gain_without_eviction,
+                false => min_gain_with_eviction,
             };
-            if gain >= margin {
+            if gain >= min_gain {
                 let found = Move {
                     model,
-                    node,
+                    target,
                     from,
                     victims,
                     gain,
@@ -309,38 +329,38 @@
     }
 
     /// What a move takes off the queue.
-    fn gain(&self, model: usize, node: usize, victims: &[usize]) -> f64 {
+    fn gain(&self, model: usize, target: usize, victims: &[usize]) -> f64 {
         let mut changes: Vec<(usize, f64)> = Vec::new();
         let demand = &self.models[model];
-        let share = demand.share_of(demand.nodes.len() + 1);
-        changes.extend(demand.nodes.iter().map(|n| (*n, share - demand.share())));
-        changes.push((node, share));
-        let mut lost = 0.0;
+        let share = demand.share_of(demand.targets.len() + 1);
+        changes.extend(demand.targets.iter().map(|n| (*n, share - demand.share())));
+        changes.push((target, share));
+        let mut absent_queue = 0.0;
         for v in victims {
             let demand = &self.models[*v];
-            let share = demand.share_of(demand.nodes.len() - 1);
-            let others = demand.nodes.iter().filter(|n| **n != node);
+            let share = demand.share_of(demand.targets.len() - 1);
+            let others = demand.targets.iter().filter(|n| **n != target);
             changes.extend(others.map(|n| (*n, share - demand.share())));
-            changes.push((node, -demand.share()));
-            if demand.nodes.len() == 1 {
-                lost += ABSENT + ABSENT_PER_S * demand.per_s;
+            changes.push((target, -demand.share()));
+            if demand.targets.len() == 1 {
+                absent_queue += MIN_ABSENT_QUEUE + ABSENT_QUEUE_PER_RATE * demand.per_s;
             }
         }
         changes.sort_unstable_by_key(|(n, _)| *n);
-        let mut off = 0.0;
+        let mut reduction = 0.0;
         for group in changes.chunk_by(|a, b| a.0 == b.0) {
-            let before = self.nodes[group[0].0].work;
+            let before = self.targets[group[0].0].prefill_fraction;
             let after = before + group.iter().map(|(_, d)| d).sum::<f64>();
-            off += (before * before - after * after) / 2.0;
+            reduction += (before * before - after * after) / 2.0;
         }
-        if victims.iter().any(|v| self.busy(node, *v)) {
-            off *= BUSY_PART;
+        if victims.iter().any(|v| self.busy(target, *v)) {
+            reduction *= BUSY_VICTIM_FRACTION;
         }
-        off - lost
+        reduction - absent_queue
     }
 
-    fn busy(&self, node: usize, model: usize) -> bool {
-        let report = self.nodes[node].state.fresh_report(self.now);
+    fn busy(&self, target: usize, model: usize) -> bool {
+        let report = self.targets[target].state.fresh_report(self.now);
         let usage = report.and_then(|r| r.load.usage(&self.engine.models[model].name));
         usage.is_some_and(|u| u.in_flight > 0)
     }
--- a/crates/stair-fleet/src/budget.rs
+++ b/crates/stair-fleet/src/budget.rs
@@ -41,7 +41,7 @@
 
 /// Part of the bound that is used: requests are counted when they arrive and retries when they
 /// are sent, so at the edge of a window the two can be off by a few.
-const PART_USED: f64 = 0.8;
+const USED_FRACTION: f64 = 0.8;
 
 /// Requests and retries of one service within the window.
 #[derive(Debug, Clone)]
@@ -73,16 +73,16 @@
 
     /// Counts a request for the service.
     pub fn request(&mut self, now: Duration) {
-        self.forget(now);
+        self.expire(now);
         self.requests.push_back(now);
     }
 
     /// Takes a retry, and tells whether it may be made.
     pub fn try_retry(&mut self, now: Duration) -> bool {
-        self.forget(now);
-        let paid = self.opts.ratio * self.requests.len() as f64;
-        let part = self.opts.extra / f64::from(self.opts.entries.max(1));
-        let allowed = (self.retries.len() + 1) as f64 <= PART_USED * (paid + part);
+        self.expire(now);
+        let earned = self.opts.ratio * self.requests.len() as f64;
+        let extra = self.opts.extra / f64::from(self.opts.entries.max(1));
+        let allowed = (self.retries.len() + 1) as f64 <= USED_FRACTION * (earned + extra);
         if allowed {
             self.retries.push_back(now);
         }
@@ -94,7 +94,7 @@
         self.retries.len()
     }
 
-    fn forget(&mut self, now: Duration) {
+    fn expire(&mut self, now: Duration) {
         let start = now.saturating_sub(self.opts.window);
         for list in [&mut self.requests, &mut self.retries] {
             while list.front().is_some_and(|t| *t < start) {
--- a/crates/stair-fleet/src/catalogue.rs
+++ b/crates/stair-fleet/src/catalogue.rs
@@ -68,13 +68,13 @@
 }
 
 /// Time for which clients wait for a stream's first event at least.
-const CLIENT_WAITS: Duration = Duration::from_secs(2);
+const MIN_CLIENT_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Objectives for which they do, if that is longer.
-const CLIENT_WAITS_OBJECTIVES: u32 = 4;
+const CLIENT_TIMEOUT_OBJECTIVES: u32 = 4;
 
 /// Promised pauses for which they do, if that is longer.
-const CLIENT_WAITS_GAPS: u32 = 8;
+const CLIENT_TIMEOUT_GAPS: u32 = 8;
 
 /// A service's share of a route.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
@@ -181,7 +181,7 @@
     }
 
     /// The shortest objective of a route that may go to a service with requests of a lower rank than this.
-    pub fn more_urgent(&self, service: &str, rank: u8) -> Option<Duration> {
+    pub fn more_urgent_objective(&self, service: &str, rank: u8) -> Option<Duration> {
         let urgent = |r: &&Route| self.first_rank(r) < rank;
         let before = self.routes_to(service).filter(urgent);
         before.map(|r| r.objective).min()
@@ -236,11 +236,11 @@
 
     /// The time after which clients leave a stream that has brought no event, as the users' own
     /// clients do.
-    pub fn client_waits(&self) -> Duration {
+    pub fn client_timeout(&self) -> Duration {
         let gap = self.gap.unwrap_or_default();
-        CLIENT_WAITS
-            .max(self.objective * CLIENT_WAITS_OBJECTIVES)
-            .max(gap * CLIENT_WAITS_GAPS)
+        MIN_CLIENT_TIMEOUT
+            .max(self.objective * CLIENT_TIMEOUT_OBJECTIVES)
+            .max(gap * CLIENT_TIMEOUT_GAPS)
     }
 
     /// Whether a request may be sent again after an attempt that may have run.
--- a/crates/stair-fleet/src/choose.rs
+++ b/crates/stair-fleet/src/choose.rs
@@ -17,7 +17,7 @@
 };
 
 /// Prefill rate for estimates, in prompt tokens a millisecond.
-const READ_TOKENS_PER_MS: f64 = 36.0;
+const PREFILL_TOKENS_PER_MS: f64 = 36.0;
 
 /// Delay that a running request adds to another's first event, in milliseconds.
 const RUNNING_MS: f64 = 3.0;
@@ -29,16 +29,16 @@
 const ADAPTER_MS: f64 = 30.0;
 
 /// Cost of an adapter where all places are in use, in milliseconds: the rest of a usual stream.
-const FULL_MS: f64 = 900.0;
+const NO_ADAPTER_SLOT_MS: f64 = 900.0;
 
 /// Cost of another data centre, in milliseconds.
 const DISTANCE_MS: f64 = 3.0;
 
 /// Cost of a target that fails every attempt, in milliseconds. Finite, so that it is tried when there is no other.
-const FAILING_MS: f64 = 2000.0;
+const FAILURE_MS: f64 = 2000.0;
 
 /// Estimates that differ by less count as equal, in milliseconds, so that distant targets are chosen as well.
-const EQUAL_MS: f64 = 6.0;
+const TIE_BREAK_MS: f64 = 6.0;
 
 /// What is to be placed.
 #[derive(Debug, Clone, Copy)]
@@ -74,25 +74,28 @@
 
 /// Chooses among the targets that are open and, where a model is asked for, hold it.
 pub fn choose(view: &View, opts: &Options<'_>, now: Duration) -> Option<Outcome> {
-    let able = |s: &TargetState| {
+    let can_serve = |s: &TargetState| {
         s.accepts(opts.suspects, now) && opts.model.is_none_or(|m| s.can_run(m, now))
     };
     let candidates: Vec<(TargetKey, &TargetState)> = view
         .of(opts.service)
-        .filter(|(key, s)| able(s) && !opts.tried.contains(key))
+        .filter(|(key, s)| can_serve(s) && !opts.tried.contains(key))
         .collect();
-    let home = home(&candidates, opts);
+    let preferred = affinity_target(&candidates, opts);
     candidates
         .iter()
         .map(|(key, s)| Outcome {
             key: *key,
-            wait_ms: wait_ms(s, opts, home == Some(*key), now),
+            wait_ms: wait_ms(s, opts, preferred == Some(*key), now),
         })
         .min_by(|a, b| a.wait_ms.total_cmp(&b.wait_ms))
 }
 
 /// The replica that keeps the shared head of the prompt, by agreement.
-fn home(candidates: &[(TargetKey, &TargetState)], opts: &Options<'_>) -> Option<TargetKey> {
+fn affinity_target(
+    candidates: &[(TargetKey, &TargetState)],
+    opts: &Options<'_>,
+) -> Option<TargetKey> {
     let (_, hash) = opts.shared?;
     candidates
         .iter()
@@ -100,9 +103,9 @@
         .map(|(key, _)| *key)
 }
 
-fn wait_ms(s: &TargetState, opts: &Options<'_>, home: bool, now: Duration) -> f64 {
-    let lot = xxh3_64_with_seed(s.target.id.as_bytes(), opts.salt) as f64 / u64::MAX as f64;
-    let mut ms = lot * EQUAL_MS + s.delay_ms.max(0.0) + s.failing * FAILING_MS;
+fn wait_ms(s: &TargetState, opts: &Options<'_>, is_affinity_target: bool, now: Duration) -> f64 {
+    let tie_break = xxh3_64_with_seed(s.target.id.as_bytes(), opts.salt) as f64 / u64::MAX as f64;
+    let mut ms = tie_break * TIE_BREAK_MS + s.delay_ms.max(0.0) + s.failing * FAILURE_MS;
     if *s.target.data_centre != *opts.data_centre {
         ms += DISTANCE_MS;
     }
@@ -113,18 +116,18 @@
             + 20.0 * f64::from(s.in_flight) / slots
             + s.target.cold.as_millis() as f64 / 50.0;
     };
-    let kept = match opts.shared {
-        Some((tokens, _)) if home => tokens,
+    let cached = match opts.shared {
+        Some((tokens, _)) if is_affinity_target => tokens,
         _ => 0,
     };
-    ms += opts.tokens.saturating_sub(kept) as f64 / READ_TOKENS_PER_MS;
+    ms += opts.tokens.saturating_sub(cached) as f64 / PREFILL_TOKENS_PER_MS;
     if let Some(report) = s.fresh_report(now) {
         ms += s.prefill_until.saturating_sub(now).as_secs_f64() * 1000.0;
         ms +=
             f64::from(report.load.running) * RUNNING_MS + f64::from(report.load.queued) * QUEUED_MS;
     } else {
         // The agent is silent: what this entry has sent itself is all that is known.
-        ms += s.unread_tokens as f64 / READ_TOKENS_PER_MS;
+        ms += s.unread_tokens as f64 / PREFILL_TOKENS_PER_MS;
         ms += f64::from(s.in_flight) * RUNNING_MS;
     }
     let has = |a: &str| {
@@ -140,7 +143,7 @@
         if s.fresh_report(now)
             .is_some_and(|r| r.load.free_adapters == 0)
         {
-            ms += FULL_MS;
+            ms += NO_ADAPTER_SLOT_MS;
         }
     }
     ms
--- a/crates/stair-fleet/src/cold_start.rs
+++ b/crates/stair-fleet/src/cold_start.rs
@@ -6,6 +6,7 @@
 
 use std::{
     cell::LazyCell,
+    fmt,
     time::Duration, //
 };
 
@@ -29,29 +30,29 @@
 };
 
 /// Time until an engine that unloads a model takes its next order: the model's streams end first.
-pub const UNLOAD_TIME: Duration = Duration::from_millis(3000);
+pub const UNLOAD_DURATION: Duration = Duration::from_millis(3000);
 
 /// Average remaining time of a stream in flight, in milliseconds.
-const STREAM_LEFT_MS: f64 = 700.0;
+const STREAM_REMAINING_MS: f64 = 700.0;
 
 /// Part of an engine's time that one replica's prefill may take without stalling its streams.
-pub const REPLICA_WORK: f64 = 0.28;
+pub const REPLICA_PREFILL_FRACTION: f64 = 0.28;
 
 /// Eviction cost of the last replica of a model without demand, in milliseconds: its next request waits for a swap.
-const LAST_MS: f64 = 60.0;
+const LAST_REPLICA_MS: f64 = 60.0;
 
 /// Added to it for each request a second.
-const LAST_MS_PER_S: f64 = 600.0;
+const LAST_REPLICA_MS_PER_RATE: f64 = 600.0;
 
 /// Eviction cost of a replica for each whole engine by which the others are overloaded then, in milliseconds.
-const CROWD_MS: f64 = 1800.0;
+const OVERLOAD_MS: f64 = 1800.0;
 
 /// Eviction cost of a replica that can be spared, in milliseconds.
-const SPARE_MS: f64 = 20.0;
+const REDUNDANT_REPLICA_MS: f64 = 20.0;
 
 /// Cost of a load for each second and each request a second for adapters there, in milliseconds: an engine that
 /// loads takes no adapter orders.
-const BLOCKED_MS: f64 = 60.0;
+const ADAPTER_DELAY_MS: f64 = 60.0;
 
 /// Part of an engine's weights memory that adapters need.
 pub fn adapters_mb(engine: &Engine) -> f64 {
@@ -69,9 +70,20 @@
     /// It has to come from the weight store, and as many loads as make sense are under way.
     StoreBusy,
     /// The entry has just started and has not heard of every engine's copies.
-    Unheard,
+    MissingReports,
     /// No engine takes orders and has room.
-    Nowhere,
+    NoCapacity,
+}
+
+/// The text is part of log lines, so it does not follow the names of the variants.
+impl fmt::Display for Error {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        f.write_str(match self {
+            Self::StoreBusy => "StoreBusy",
+            Self::MissingReports => "Unheard",
+            Self::NoCapacity => "Nowhere",
+        })
+    }
 }
 
 /// Where a model is to be loaded.
@@ -102,16 +114,16 @@
     tried: &[TargetKey],
     now: Duration,
 ) -> Result<Outcome, Error> {
-    let look = Look::new(view, service, engine, model, now);
-    let places = look.places(tried);
-    let any = !places.is_empty();
-    look.best(places).ok_or_else(|| {
-        if fetch::unreported(view, service, now) {
-            Error::Unheard
+    let search = Search::new(view, service, engine, model, now);
+    let candidates = search.candidates(tried);
+    let any = !candidates.is_empty();
+    search.cheapest(candidates).ok_or_else(|| {
+        if fetch::has_missing_reports(view, service, now) {
+            Error::MissingReports
         } else if any {
             Error::StoreBusy
         } else {
-            Error::Nowhere
+            Error::NoCapacity
         }
     })
 }
@@ -125,13 +137,13 @@
     tried: &[TargetKey],
     now: Duration,
 ) -> Option<Outcome> {
-    let look = Look::new(view, service, engine, model, now);
-    look.best(look.places(tried))
+    let search = Search::new(view, service, engine, model, now);
+    search.cheapest(search.candidates(tried))
 }
 
 /// One look for a place. What does not depend on the place is worked out once: requests that find no
 /// target each make such a look, at every engine.
-struct Look<'a> {
+struct Search<'a> {
     view: &'a View,
     service: &'a str,
     engine: &'a Engine,
@@ -146,14 +158,14 @@
 struct Demand {
     per_s: f64,
     /// Part of one engine's time that reading their prompts takes.
-    work: f64,
+    prefill_fraction: f64,
     replicas: u32,
     /// The replica that may be spared, with its lot: of several the one with the greatest. Two entries that
     /// each took another one for spare at the same moment would leave none.
-    spare: Option<(u64, TargetKey)>,
+    redundant: Option<(u64, TargetKey)>,
 }
 
-impl<'a> Look<'a> {
+impl<'a> Search<'a> {
     fn new(
         view: &'a View,
         service: &'a str,
@@ -161,7 +173,7 @@
         model: &'a str,
         now: Duration,
     ) -> Self {
-        let mut look = Self {
+        let mut search = Self {
             view,
             service,
             engine,
@@ -170,28 +182,32 @@
             now,
         };
         for (key, s) in view.of(service).filter(|(_, s)| s.is_available(now)) {
-            look.count(key, s);
+            search.count(key, s);
         }
-        look
+        search
     }
 
     fn count(&mut self, key: TargetKey, s: &TargetState) {
         let report = s.fresh_report(self.now);
-        let held = s.inventory(self.now).models.iter().map(|h| &*h.name);
-        let coming = report.and_then(|r| r.load.loading.as_ref());
-        let coming = coming
+        let loaded = s.inventory(self.now).models.iter().map(|h| &*h.name);
+        let loading = report.and_then(|r| r.load.loading.as_ref());
+        let loading = loading
             .map(|l| &*l.model)
             .filter(|m| !s.can_run(m, self.now));
-        let here = held.filter(|m| s.can_run(m, self.now)).chain(coming);
+        let here = loaded.filter(|m| s.can_run(m, self.now)).chain(loading);
         for model in here {
             let Ok(i) = self.index(model) else { continue };
             let usage = report.and_then(|r| r.load.usage(model));
             self.demands[i].per_s += f64::from(usage.map_or(0.0, |u| u.per_s));
-            self.demands[i].work += f64::from(usage.map_or(0.0, |u| u.prefill_fraction));
+            self.demands[i].prefill_fraction +=
+                f64::from(usage.map_or(0.0, |u| u.prefill_fraction));
             self.demands[i].replicas += 1;
-            let lot = lot(s, model);
-            if self.demands[i].spare.is_none_or(|(most, _)| lot > most) {
-                self.demands[i].spare = Some((lot, key));
+            let tie_break_hash = tie_break_hash(s, model);
+            if self.demands[i]
+                .redundant
+                .is_none_or(|(most, _)| tie_break_hash > most)
+            {
+                self.demands[i].redundant = Some((tie_break_hash, key));
             }
         }
     }
@@ -202,7 +218,7 @@
     }
 
     /// All places but those that were tried.
-    fn places(&self, tried: &[TargetKey]) -> Vec<Outcome> {
+    fn candidates(&self, tried: &[TargetKey]) -> Vec<Outcome> {
         self.view
             .of(self.service)
             .filter(|(key, s)| s.is_available(self.now) && !tried.contains(key))
@@ -211,24 +227,24 @@
     }
 
     /// The cheapest place, one that needs the weight store only if a load from there may begin.
-    fn best(&self, places: Vec<Outcome>) -> Option<Outcome> {
+    fn cheapest(&self, candidates: Vec<Outcome>) -> Option<Outcome> {
         let (view, now) = (self.view, self.now);
         let store_free = LazyCell::new(|| {
-            let at_once = fetch::at_once(view, self.service, self.engine, now);
-            fetch::under_way(view, self.service, now) < at_once
-                && !fetch::unreported(view, self.service, now)
+            let limit = fetch::concurrency_limit(view, self.service, self.engine, now);
+            fetch::in_progress(view, self.service, now) < limit
+                && !fetch::has_missing_reports(view, self.service, now)
         });
-        let near = |o: &Outcome| {
+        let is_local = |o: &Outcome| {
             o.from != CopyLocation::Store || view.get(o.key).is_loading(self.model, now)
         };
-        places
+        candidates
             .into_iter()
-            .filter(|o| near(o) || *store_free)
+            .filter(|o| is_local(o) || *store_free)
             .min_by(|a, b| {
-                let tie = |o: &Outcome| lot(view.get(o.key), self.model);
+                let hash = |o: &Outcome| tie_break_hash(view.get(o.key), self.model);
                 // Whole tens of milliseconds, so that estimates that differ by little tie.
                 let steps = |o: &Outcome| (o.cost_ms / 10.0) as u64;
-                steps(a).cmp(&steps(b)).then_with(|| tie(a).cmp(&tie(b)))
+                steps(a).cmp(&steps(b)).then_with(|| hash(a).cmp(&hash(b)))
             })
     }
 
@@ -254,37 +270,39 @@
             ready += other.remaining;
         }
         if report.load.unloading {
-            ready += UNLOAD_TIME;
+            ready += UNLOAD_DURATION;
         }
         ready += report.load.queued_load_time;
-        let victims = self.room(decl.weights_mb, key, s, report)?;
-        ready += busy_time(victims.iter().map(|v| v.name), report);
-        let missed: f64 = victims.iter().map(|v| v.missed_ms).sum();
+        let victims = self.victims_for(decl.weights_mb, key, s, report)?;
+        ready += drain_time(victims.iter().map(|v| v.name), report);
+        let eviction: f64 = victims.iter().map(|v| v.eviction_ms).sum();
         Some(Outcome {
             key,
             from,
             ready_in: ready,
             victims: victims.iter().map(|v| v.name.into()).collect(),
-            cost_ms: ms(ready) + missed + blocked_ms(report, ready),
+            cost_ms: ms(ready) + eviction + adapter_delay_ms(report, ready),
         })
     }
 
     /// What a model costs when it makes way, in milliseconds that its requests wait longer.
-    fn missed_ms(&self, model: &str, key: TargetKey) -> f64 {
+    fn eviction_ms(&self, model: &str, key: TargetKey) -> f64 {
         // What is no longer declared is not missed.
         let demand = self.index(model).map(|i| self.demands[i]);
         let demand = demand.unwrap_or_default();
-        let may_go = demand.spare.is_some_and(|(_, spare)| spare == key);
-        let stay = demand.replicas.saturating_sub(1) * u32::from(may_go);
-        if stay == 0 {
-            return LAST_MS + LAST_MS_PER_S * demand.per_s;
+        let is_redundant = demand
+            .redundant
+            .is_some_and(|(_, redundant)| redundant == key);
+        let remaining = demand.replicas.saturating_sub(1) * u32::from(is_redundant);
+        if remaining == 0 {
+            return LAST_REPLICA_MS + LAST_REPLICA_MS_PER_RATE * demand.per_s;
         }
-        let over = demand.work / f64::from(stay) - REPLICA_WORK;
-        SPARE_MS + CROWD_MS * over.max(0.0)
+        let over = demand.prefill_fraction / f64::from(remaining) - REPLICA_PREFILL_FRACTION;
+        REDUNDANT_REPLICA_MS + OVERLOAD_MS * over.max(0.0)
     }
 
     /// Finds the models that make way for `needed` MB, the least missed first.
-    fn room<'s>(
+    fn victims_for<'s>(
         &self,
         needed: f64,
         key: TargetKey,
@@ -293,16 +311,16 @@
     ) -> Option<Vec<Victim<'s>>> {
         let engine = self.engine;
         let size = |name: &str| engine.model(name).map_or(0.0, |m| m.weights_mb);
-        let held = &s.inventory(self.now).models;
-        let coming = report.load.loading.as_ref().map_or(0.0, |l| size(&l.model));
-        let taken: f64 = held.iter().map(|h| size(&h.name)).sum::<f64>() + coming;
+        let loaded = &s.inventory(self.now).models;
+        let loading = report.load.loading.as_ref().map_or(0.0, |l| size(&l.model));
+        let taken: f64 = loaded.iter().map(|h| size(&h.name)).sum::<f64>() + loading;
         let mut free = engine.weights_mb - adapters_mb(engine) - taken;
-        let mut candidates: Vec<Victim<'_>> = held
+        let mut candidates: Vec<Victim<'_>> = loaded
             .iter()
             .map(|h| Victim {
                 name: &h.name,
-                missed_ms: self.missed_ms(&h.name, key),
-                busy_ms: ms(busy_time([&*h.name], report)),
+                eviction_ms: self.eviction_ms(&h.name, key),
+                drain_ms: ms(drain_time([&*h.name], report)),
             })
             .collect();
         candidates.sort_by(|a, b| a.cost_ms().total_cmp(&b.cost_ms()));
@@ -350,7 +368,7 @@
 }
 
 /// A number that all entries agree on for a model at an engine.
-fn lot(s: &TargetState, model: &str) -> u64 {
+fn tie_break_hash(s: &TargetState, model: &str) -> u64 {
     xxh3_64_with_seed(s.target.id.as_bytes(), xxh3_64(model.as_bytes()))
 }
 
@@ -361,18 +379,18 @@
 /// The wait for the requests in flight at the models that make way, until the last of them has ended.
 ///
 /// The expected maximum of `n` exponential times: their mean times the sum of 1/1 to 1/n.
-fn busy_time<'a, I>(victims: I, report: &Report) -> Duration
+fn drain_time<'a, I>(victims: I, report: &Report) -> Duration
 where
     I: IntoIterator<Item = &'a str>,
 {
     let in_flight = |v| report.load.usage(v).map_or(0, |u| u.in_flight);
     let streams: u32 = victims.into_iter().map(in_flight).sum();
     let longest: f64 = (1..=streams).map(|n| 1.0 / f64::from(n)).sum();
-    Duration::from_secs_f64(STREAM_LEFT_MS / 1000.0 * longest)
+    Duration::from_secs_f64(STREAM_REMAINING_MS / 1000.0 * longest)
 }
 
 /// What an engine's adapters cost while it loads, in milliseconds.
-fn blocked_ms(report: &Report, ready: Duration) -> f64 {
+fn adapter_delay_ms(report: &Report, ready: Duration) -> f64 {
     let with_adapters = report
         .inventory
         .models
@@ -382,20 +400,20 @@
         .filter_map(|h| report.load.usage(&h.name))
         .map(|u| f64::from(u.per_s))
         .sum();
-    BLOCKED_MS * per_s * ready.as_secs_f64()
+    ADAPTER_DELAY_MS * per_s * ready.as_secs_f64()
 }
 
 /// A model that makes way.
 struct Victim<'a> {
     name: &'a str,
     /// What its requests wait longer.
-    missed_ms: f64,
+    eviction_ms: f64,
     /// The wait until its requests in flight have ended.
-    busy_ms: f64,
+    drain_ms: f64,
 }
 
 impl Victim<'_> {
     fn cost_ms(&self) -> f64 {
-        self.missed_ms + self.busy_ms
+        self.eviction_ms + self.drain_ms
     }
 }
--- a/crates/stair-fleet/src/fetch.rs
+++ b/crates/stair-fleet/src/fetch.rs
@@ -19,41 +19,42 @@
 };
 
 /// Concurrent loads until one has ended, if a load is as fast as an engine's link.
-const FIRST_BY_LINK: usize = 4;
+const INITIAL_LIMIT_FAST_STORE: usize = 4;
 
 /// The same if it is slower: the weight store is the limit then, and others would share it.
-const FIRST_BY_STORE: usize = 1;
+const INITIAL_LIMIT_SLOW_STORE: usize = 1;
 
 /// Throughput of an engine's link, in MB a second.
 const LINK_MB_PER_S: f64 = 10_000.0;
 
 /// Concurrent loads that are kept free for requests that wait for one.
-const KEPT_FREE: usize = 1;
+const RESERVED_LOADS: usize = 1;
 
 /// Concurrency up to which loads that kept their declared time allow twice as many; beyond it, one more.
-const DOUBLES_UP_TO: usize = 2;
+const MAX_DOUBLED_LIMIT: usize = 2;
 
 /// Part of the declared time beyond which a load was slowed by others.
-const SLOWED: f32 = 1.15;
+const SLOWDOWN_THRESHOLD: f32 = 1.15;
 
 /// Age up to which an entry waits for the reports of all engines before it loads from the weight store.
-const HEARD_TIME: Duration = Duration::from_millis(2500);
+const REPORTS_TIMEOUT: Duration = Duration::from_millis(2500);
 
 /// Loads that are of use at once, at least one.
-pub fn at_once(view: &View, service: &str, engine: &Engine, now: Duration) -> usize {
-    let concurrent = u32::try_from(under_way(view, service, now)).unwrap_or(u32::MAX);
+pub fn concurrency_limit(view: &View, service: &str, engine: &Engine, now: Duration) -> usize {
+    let concurrent = u32::try_from(in_progress(view, service, now)).unwrap_or(u32::MAX);
     let reports = || view.of(service).filter_map(|(_, s)| s.fresh_report(now));
-    let late = reports()
+    let delayed = reports()
         .filter_map(|r| r.load.loading.as_ref())
         .filter(|l| l.from == CopyLocation::Store)
         .map(|l| Fetched {
             concurrent,
             slowdown: l.slowdown,
         })
-        .filter(|f| f.slowdown > SLOWED);
+        .filter(|f| f.slowdown > SLOWDOWN_THRESHOLD);
     let ended = reports().filter_map(|r| r.load.fetched);
-    let (slow, fast): (Vec<Fetched>, Vec<Fetched>) =
-        late.chain(ended).partition(|f| f.slowdown > SLOWED);
+    let (slow, fast): (Vec<Fetched>, Vec<Fetched>) = delayed
+        .chain(ended)
+        .partition(|f| f.slowdown > SLOWDOWN_THRESHOLD);
     let full_speed = |f: &Fetched| (f.concurrent as f32 / f.slowdown).round().max(1.0) as usize;
     // One that ran alone was not slowed by others, whatever it took.
     let slow = slow.iter().filter(|f| f.concurrent > 1).map(full_speed);
@@ -68,30 +69,30 @@
     }
     let more = match proven {
         0 => 0,
-        n if n <= DOUBLES_UP_TO => 2 * n,
+        n if n <= MAX_DOUBLED_LIMIT => 2 * n,
         n => n + 1,
     };
-    more.max(first(engine))
+    more.max(initial_limit(engine))
 }
 
 /// Loads that may run at once without a request that waits for one of them to end, at least one.
-pub fn prefetches(view: &View, service: &str, engine: &Engine, now: Duration) -> usize {
-    let at_once = at_once(view, service, engine, now);
-    at_once.saturating_sub(KEPT_FREE).max(1)
+pub fn prefetch_limit(view: &View, service: &str, engine: &Engine, now: Duration) -> usize {
+    let limit = concurrency_limit(view, service, engine, now);
+    limit.saturating_sub(RESERVED_LOADS).max(1)
 }
 
-fn first(engine: &Engine) -> usize {
+fn initial_limit(engine: &Engine) -> usize {
     let rate = |m: &Model| m.weights_mb / m.from_store.as_secs_f64().max(0.001);
     let fastest = engine.models.iter().map(rate).fold(0.0, f64::max);
     if fastest >= LINK_MB_PER_S {
-        FIRST_BY_LINK
+        INITIAL_LIMIT_FAST_STORE
     } else {
-        FIRST_BY_STORE
+        INITIAL_LIMIT_SLOW_STORE
     }
 }
 
 /// Counts the loads that are under way.
-pub fn under_way(view: &View, service: &str, now: Duration) -> usize {
+pub fn in_progress(view: &View, service: &str, now: Duration) -> usize {
     view.of(service)
         .filter_map(|(_, s)| s.fresh_report(now)?.load.loading.as_ref())
         .filter(|l| l.from == CopyLocation::Store)
@@ -102,11 +103,11 @@
 ///
 /// After a power cut agents report copies on disk a moment later. An entry that does not wait for them would keep
 /// the weight store busy with models that need not come from there.
-pub fn unreported(view: &View, service: &str, now: Duration) -> bool {
-    let mut open = view
+pub fn has_missing_reports(view: &View, service: &str, now: Duration) -> bool {
+    let mut available = view
         .of(service)
         .filter(|(_, s)| s.is_available(now))
         .peekable();
-    let none = open.peek().is_none();
-    now < HEARD_TIME && (none || open.any(|(_, s)| s.fresh_report(now).is_none()))
+    let is_empty = available.peek().is_none();
+    now < REPORTS_TIMEOUT && (is_empty || available.any(|(_, s)| s.fresh_report(now).is_none()))
 }
--- a/crates/stair-fleet/src/lag.rs
+++ b/crates/stair-fleet/src/lag.rs
@@ -11,11 +11,11 @@
 use crate::msg::ReplicationState;
 
 /// Time after which an entry that receives its source has what another one has reported.
-const LAG_TIME: Duration = Duration::from_millis(900);
+const REPLICATION_TIMEOUT: Duration = Duration::from_millis(900);
 
 /// How far the knowledge of all entries goes.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-struct Newest {
+struct Versions {
     catalogue: u64,
     targets: u64,
 }
@@ -24,10 +24,10 @@
 #[derive(Debug, Clone, Default)]
 pub struct Lag {
     /// Due everywhere.
-    due: Newest,
-    newest: Newest,
+    expected: Versions,
+    newest: Versions,
     /// Each rise of the newest that is not due yet, the oldest first.
-    rises: VecDeque<(Duration, Newest)>,
+    rises: VecDeque<(Duration, Versions)>,
 }
 
 impl Lag {
@@ -35,11 +35,11 @@
     pub fn observe(&mut self, known: &ReplicationState, now: Duration) -> bool {
         while let Some((_, newest)) = self
             .rises
-            .pop_front_if(|(at, _)| now.saturating_sub(*at) >= LAG_TIME)
+            .pop_front_if(|(at, _)| now.saturating_sub(*at) >= REPLICATION_TIMEOUT)
         {
-            self.due = newest;
+            self.expected = newest;
         }
-        let newest = Newest {
+        let newest = Versions {
             catalogue: self.newest.catalogue.max(known.catalogue),
             targets: self.newest.targets.max(known.targets),
         };
@@ -47,6 +47,6 @@
             self.newest = newest;
             self.rises.push_back((now, newest));
         }
-        known.catalogue < self.due.catalogue || known.targets < self.due.targets
+        known.catalogue < self.expected.catalogue || known.targets < self.expected.targets
     }
 }
--- a/crates/stair-fleet/src/overload.rs
+++ b/crates/stair-fleet/src/overload.rs
@@ -12,16 +12,16 @@
 };
 
 /// Part of the objective up to which a target is fast enough.
-const FAST_PART: f64 = 0.5;
+const FAST_FRACTION: f64 = 0.5;
 
 /// Cost up to which a further replica is loaded for a slow target, in milliseconds.
-const REPLICA_MS: f64 = 2500.0;
+const MAX_REPLICA_COST_MS: f64 = 2500.0;
 
 /// A request waits for a replica instead of a target if that saves this part of the wait.
-const SAVED_PART: f64 = 0.3;
+const MIN_SAVED_FRACTION: f64 = 0.3;
 
 /// Part of the remaining time beyond which the wait at a target is hopeless. Above one, as the estimate is rough.
-const HOPELESS_PART: f64 = 1.2;
+const REFUSAL_FRACTION: f64 = 1.2;
 
 /// What to do.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -38,15 +38,15 @@
 
 /// Whether a target is fast enough, so that no other place has to be looked for.
 pub fn is_fast(best: &choose::Outcome, objective: Duration) -> bool {
-    best.wait_ms <= FAST_PART * objective.as_secs_f64() * 1000.0
+    best.wait_ms <= FAST_FRACTION * objective.as_secs_f64() * 1000.0
 }
 
 /// Decides by the best target and the best place to load a replica, each if there is one.
 pub fn decide(
     best: Option<&choose::Outcome>,
-    place: Option<&cold_start::Outcome>,
+    placement: Option<&cold_start::Outcome>,
     objective: Duration,
-    left: Duration,
+    remaining: Duration,
 ) -> Decision {
     let ms = |t: Duration| t.as_secs_f64() * 1000.0;
     let Some(best) = best else {
@@ -55,19 +55,19 @@
     if is_fast(best, objective) {
         return Decision::Send;
     }
-    let Some(place) = place else {
-        let hopeless = best.wait_ms > HOPELESS_PART * ms(left);
-        return if hopeless {
+    let Some(placement) = placement else {
+        let too_late = best.wait_ms > REFUSAL_FRACTION * ms(remaining);
+        return if too_late {
             Decision::Refuse
         } else {
             Decision::Send
         };
     };
-    let ready = ms(place.ready_in);
-    if ready < (1.0 - SAVED_PART) * best.wait_ms && ready < ms(left) {
+    let ready_ms = ms(placement.ready_in);
+    if ready_ms < (1.0 - MIN_SAVED_FRACTION) * best.wait_ms && ready_ms < ms(remaining) {
         return Decision::Load;
     }
-    if place.cost_ms <= REPLICA_MS {
+    if placement.cost_ms <= MAX_REPLICA_COST_MS {
         return Decision::SendAndLoad;
     }
     Decision::Send
--- a/crates/stair-fleet/src/prefetch.rs
+++ b/crates/stair-fleet/src/prefetch.rs
@@ -22,14 +22,14 @@
 };
 
 /// Concurrent prefetches from the weight store for models with hardly any demand. Busy models would wait for them.
-const PREFETCH_RARE: usize = 1;
+const MAX_RARE_PREFETCHES: usize = 1;
 
 /// Requests a second up to which an engine is idle.
 const IDLE_PER_S: f32 = 0.5;
 
 /// A load that was asked for and need not have shown in a report yet.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Asked {
+pub struct RequestedLoad {
     /// The engine.
     pub key: TargetKey,
     /// The model.
@@ -49,58 +49,59 @@
 
 /// Chooses the next load that is worth making ahead of requests, if any.
 ///
-/// Engines that have loads before them are left alone, as are those in `asked`: a load ahead of
+/// Engines that have loads before them are left alone, as are those in `requested`: a load ahead of
 /// requests must not stand before one that a request waits for.
 pub fn next(
     view: &View,
     service: &str,
     engine: &Engine,
-    asked: &[Asked],
+    requested: &[RequestedLoad],
     now: Duration,
 ) -> Option<Outcome> {
-    let at_work = |s: &TargetState| {
+    let has_orders = |s: &TargetState| {
         s.fresh_report(now).is_none_or(|r| {
             r.load.loading.is_some() || r.load.unloading || !r.load.queued_load_time.is_zero()
         })
     };
-    let mut left_alone: Vec<TargetKey> = asked.iter().map(|a| a.key).collect();
-    left_alone.extend(
+    let mut excluded: Vec<TargetKey> = requested.iter().map(|a| a.key).collect();
+    excluded.extend(
         view.of(service)
-            .filter(|(_, s)| at_work(s))
+            .filter(|(_, s)| has_orders(s))
             .map(|(key, _)| key),
     );
-    let look = Look {
+    let search = Search {
         view,
         service,
         engine,
-        asked,
-        left_alone,
+        requested,
+        excluded,
         now,
     };
-    look.unserved()
-        .or_else(|| look.crowded())
-        .or_else(|| look.missing())
-        .or_else(|| look.absent())
-        .or_else(|| look.single())
+    search
+        .unserved()
+        .or_else(|| search.overloaded())
+        .or_else(|| search.missing())
+        .or_else(|| search.unloaded_with_copy())
+        .or_else(|| search.single_copy())
 }
 
-struct Look<'a> {
+struct Search<'a> {
     view: &'a View,
     service: &'a str,
     engine: &'a Engine,
-    asked: &'a [Asked],
-    left_alone: Vec<TargetKey>,
+    requested: &'a [RequestedLoad],
+    excluded: Vec<TargetKey>,
     now: Duration,
 }
 
-impl Look<'_> {
+impl Search<'_> {
     fn place(&self, model: &str) -> Option<Outcome> {
         let place = cold_start::choose(
             self.view,
             self.service,
             self.engine,
             model,
-            &self.left_alone,
+            &self.excluded,
             self.now,
         )?;
         Some(Outcome {
@@ -111,27 +112,27 @@
     }
 
     /// Whether an engine holds the model or is loading it.
-    fn there(&self, key: TargetKey, s: &TargetState, model: &str) -> bool {
-        let asked = self
-            .asked
+    fn has_or_loads(&self, key: TargetKey, s: &TargetState, model: &str) -> bool {
+        let requested = self
+            .requested
             .iter()
             .any(|a| a.key == key && *a.model == *model);
-        asked
+        requested
             || (s.is_available(self.now)
                 && (s.can_run(model, self.now) || s.is_loading(model, self.now)))
     }
 
     /// A further replica of a model whose replicas are crowded.
-    fn crowded(&self) -> Option<Outcome> {
+    fn overloaded(&self) -> Option<Outcome> {
         let opts = balance::Options {
             view: self.view,
             service: self.service,
             engine: self.engine,
-            asked: self.asked,
-            left_alone: &self.left_alone,
+            requested: self.requested,
+            excluded: &self.excluded,
             store: self.store_loads()
-                < fetch::prefetches(self.view, self.service, self.engine, self.now)
-                && !self.unreported(),
+                < fetch::prefetch_limit(self.view, self.service, self.engine, self.now)
+                && !self.has_missing_reports(),
         };
         let found = balance::next(&opts, self.now)?;
         Some(Outcome {
@@ -143,32 +144,32 @@
 
     /// Loads from the weight store that are under way or asked for.
     fn store_loads(&self) -> usize {
-        let reported = |a: &&Asked| !self.view.get(a.key).is_loading(&a.model, self.now);
-        let from_store = |a: &&Asked| {
+        let reported = |a: &&RequestedLoad| !self.view.get(a.key).is_loading(&a.model, self.now);
+        let from_store = |a: &&RequestedLoad| {
             let inventory = self.view.get(a.key).inventory(self.now);
             inventory.copy(&a.model) == CopyLocation::Store
         };
-        let asked = self.asked.iter().filter(reported).filter(from_store);
-        fetch::under_way(self.view, self.service, self.now) + asked.count()
+        let requested = self.requested.iter().filter(reported).filter(from_store);
+        fetch::in_progress(self.view, self.service, self.now) + requested.count()
     }
 
-    fn unreported(&self) -> bool {
-        fetch::unreported(self.view, self.service, self.now)
+    fn has_missing_reports(&self) -> bool {
+        fetch::has_missing_reports(self.view, self.service, self.now)
     }
 
     /// Engines that hold the model or have a copy of it.
     fn copies(&self, model: &str) -> usize {
-        let near = |(key, s): &(TargetKey, &TargetState)| {
+        let has_copy = |(key, s): &(TargetKey, &TargetState)| {
             let copy = s.inventory(self.now).copy(model) != CopyLocation::Store;
-            self.there(*key, s, model) || (copy && s.is_available(self.now))
+            self.has_or_loads(*key, s, model) || (copy && s.is_available(self.now))
         };
-        self.view.of(self.service).filter(near).count()
+        self.view.of(self.service).filter(has_copy).count()
     }
 
     /// The missing model with the most rejected requests. They come back to the same rejection until it is loaded.
     fn unserved(&self) -> Option<Outcome> {
-        let at_once = fetch::at_once(self.view, self.service, self.engine, self.now);
-        if self.store_loads() >= at_once || self.unreported() {
+        let limit = fetch::concurrency_limit(self.view, self.service, self.engine, self.now);
+        if self.store_loads() >= limit || self.has_missing_reports() {
             return None;
         }
         let mut demands = self.demands();
@@ -203,7 +204,7 @@
 
     /// A missing model.
     fn missing(&self) -> Option<Outcome> {
-        if self.store_loads() >= PREFETCH_RARE || self.unreported() {
+        if self.store_loads() >= MAX_RARE_PREFETCHES || self.has_missing_reports() {
             return None;
         }
         let mut models = self.engine.models.iter();
@@ -213,10 +214,10 @@
 
     /// A model that no engine holds while one has a copy of it and room to spare: it costs one
     /// order now and saves its next request the wait.
-    fn absent(&self) -> Option<Outcome> {
+    fn unloaded_with_copy(&self) -> Option<Outcome> {
         self.engine.models.iter().find_map(|m| {
             let mut all = self.view.of(self.service);
-            if all.any(|(key, s)| self.there(key, s, &m.name)) {
+            if all.any(|(key, s)| self.has_or_loads(key, s, &m.name)) {
                 return None;
             }
             let found = self.place(&m.name)?;
@@ -228,8 +229,8 @@
     /// A model with a single copy, for an engine with nothing to do and room to spare. Engines that
     /// replace others come without copies and would stand idle; when demand moves to a model with
     /// one copy, or its engine is lost, its requests wait for the weight store.
-    fn single(&self) -> Option<Outcome> {
-        if self.store_loads() >= PREFETCH_RARE || self.unreported() {
+    fn single_copy(&self) -> Option<Outcome> {
+        if self.store_loads() >= MAX_RARE_PREFETCHES || self.has_missing_reports() {
             return None;
         }
         let busy = |s: &TargetState| {
@@ -237,18 +238,15 @@
             let per_s = |r: &Report| r.load.usage.iter().map(|u| u.per_s).sum::<f32>();
             report.is_none_or(|r| per_s(r) > IDLE_PER_S)
         };
-        let mut left_alone = self.left_alone.clone();
+        let mut excluded = self.excluded.clone();
         let all = self.view.of(self.service);
-        left_alone.extend(all.filter(|(_, s)| busy(s)).map(|(key, _)| key));
-        let look = Look {
-            left_alone,
-            ..*self
-        };
+        excluded.extend(all.filter(|(_, s)| busy(s)).map(|(key, _)| key));
+        let search = Search { excluded, ..*self };
         self.engine.models.iter().find_map(|m| {
             if self.copies(&m.name) != 1 {
                 return None;
             }
-            let found = look.place(&m.name)?;
+            let found = search.place(&m.name)?;
             let further = found.place.victims.is_empty() && found.place.from == CopyLocation::Store;
             let engine = self.view.get(found.place.key);
             let last = cold_start::has_last_copy(self.view, self.service, engine, self.now);
--- a/crates/stair-fleet/src/quarantine.rs
+++ b/crates/stair-fleet/src/quarantine.rs
@@ -39,16 +39,16 @@
 pub const QUARANTINE_BLAME: u32 = 6;
 
 /// Time from the first report of a crash until blame is given: all entries have reported by then.
-pub const SETTLE_TIME: Duration = Duration::from_millis(300);
+pub const SETTLE_DELAY: Duration = Duration::from_millis(300);
 
 /// Time after which a request that runs has hardly to do with its target's end.
-pub const ESTABLISHED_TIME: Duration = Duration::from_millis(500);
+pub const ESTABLISHED_DURATION: Duration = Duration::from_millis(500);
 
 /// Time for which blame is remembered.
-pub const BLAME_TIME: Duration = Duration::from_secs(600);
+pub const BLAME_TTL: Duration = Duration::from_secs(600);
 
 /// How long a request is not run, the first time and after each crash of its next runs.
-pub const HOLD_TIMES: [Duration; 3] = [
+pub const QUARANTINE_DURATIONS: [Duration; 3] = [
     Duration::from_secs(60),
     Duration::from_secs(300),
     Duration::from_secs(3600),
@@ -58,7 +58,8 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Crash {
     /// Names the life that has ended.
-    pub life: Box<str>,
+    #[serde(rename = "life")]
+    pub incarnation: Box<str>,
     /// The entry's requests that were cut there.
     pub runs: Vec<Run>,
 }
@@ -68,7 +69,7 @@
 pub struct Run {
     /// The request.
     pub fingerprint: Fingerprint,
-    /// Whether its answer had begun [`ESTABLISHED_TIME`] before.
+    /// Whether its answer had begun [`ESTABLISHED_DURATION`] before.
     pub established: bool,
     /// Whether that was a trial.
     pub on_trial: bool,
--- a/crates/stair-fleet/src/quarantine/crashes.rs
+++ b/crates/stair-fleet/src/quarantine/crashes.rs
@@ -5,19 +5,19 @@
 use stair_types::Fingerprint;
 
 use super::{
-    BLAME_TIME,
+    BLAME_TTL,
     Crash,
     Run, //
 };
 
 /// Blame for a crash.
-const FULL: u32 = 2;
+const FULL_BLAME: u32 = 2;
 
 /// Blame of a request that had run for some time, or for a crash that may have a cause in common with others.
-const LESS: u32 = 1;
+const REDUCED_BLAME: u32 = 1;
 
 /// Time between the ends of targets up to which they may have a cause in common.
-const COINCIDENCE: Duration = Duration::from_millis(50);
+const COINCIDENCE_WINDOW: Duration = Duration::from_millis(50);
 
 /// Crashes that are kept at most.
 const MAX_CRASHES: usize = 512;
@@ -31,23 +31,23 @@
 /// The crashes, in the order of their first reports.
 #[derive(Debug, Clone, Default)]
 pub(super) struct Crashes {
-    list: Vec<Ended>,
+    list: Vec<CrashRecord>,
 }
 
 /// The end of one target.
 #[derive(Debug, Clone)]
-pub(super) struct Ended {
-    life: Box<str>,
+pub(super) struct CrashRecord {
+    incarnation: Box<str>,
     at: Duration,
     /// Sorted by request.
     runs: Vec<Run>,
     /// The request that it is put down to.
-    explained_by: Option<Fingerprint>,
+    attributed_to: Option<Fingerprint>,
     /// Whether there are requests that have not been judged.
-    open: bool,
+    unjudged: bool,
 }
 
-impl Ended {
+impl CrashRecord {
     fn find(&self, run: &Fingerprint) -> Result<usize, usize> {
         self.runs.binary_search_by_key(run, |r| r.fingerprint)
     }
@@ -57,7 +57,7 @@
     }
 
     /// Whether a request is blamed for more than all others that were there.
-    pub(super) fn is_led_by<F>(&self, run: &Fingerprint, blame: F) -> bool
+    pub(super) fn is_most_blamed<F>(&self, run: &Fingerprint, blame: F) -> bool
     where
         F: Fn(&Fingerprint) -> u32,
     {
@@ -67,42 +67,45 @@
     }
 
     fn counts_for(&self, run: &Fingerprint) -> bool {
-        self.explained_by.is_none_or(|e| e == *run) && self.has(run)
+        self.attributed_to.is_none_or(|e| e == *run) && self.has(run)
     }
 }
 
 impl Crashes {
     /// Takes in what an entry says of a target's end.
     pub(super) fn report(&mut self, crash: &Crash, now: Duration) {
-        self.forget_old(now);
-        let known = self.list.iter().position(|e| e.life == crash.life);
+        self.expire(now);
+        let known = self
+            .list
+            .iter()
+            .position(|e| e.incarnation == crash.incarnation);
         let i = known.unwrap_or_else(|| {
-            self.list.push(Ended {
-                life: crash.life.clone(),
+            self.list.push(CrashRecord {
+                incarnation: crash.incarnation.clone(),
                 at: now,
                 runs: Vec::new(),
-                explained_by: None,
-                open: false,
+                attributed_to: None,
+                unjudged: false,
             });
             self.list.len() - 1
         });
-        let ended = &mut self.list[i];
-        ended.open = true;
+        let record = &mut self.list[i];
+        record.unjudged = true;
         for run in &crash.runs {
-            match ended.find(&run.fingerprint) {
+            match record.find(&run.fingerprint) {
                 // Sent twice, it has begun again.
                 Ok(i) => {
-                    ended.runs[i].established &= run.established;
-                    ended.runs[i].on_trial |= run.on_trial;
+                    record.runs[i].established &= run.established;
+                    record.runs[i].on_trial |= run.on_trial;
                 }
-                Err(i) if ended.runs.len() < MAX_RUNS => ended.runs.insert(i, *run),
+                Err(i) if record.runs.len() < MAX_RUNS => record.runs.insert(i, *run),
                 Err(_) => {}
             }
         }
     }
 
-    fn forget_old(&mut self, now: Duration) {
-        self.list.retain(|e| now.saturating_sub(e.at) < BLAME_TIME);
+    fn expire(&mut self, now: Duration) {
+        self.list.retain(|e| now.saturating_sub(e.at) < BLAME_TTL);
         let mut runs: usize = self.list.iter().map(|e| e.runs.len()).sum();
         while self.list.len() >= MAX_CRASHES || runs > MAX_ALL_RUNS {
             runs -= self.list.remove(0).runs.len();
@@ -110,12 +113,12 @@
     }
 
     /// Takes the requests of the crashes that were first reported so long ago, and have not been judged since.
-    pub(super) fn take_open(&mut self, after: Duration, now: Duration) -> Vec<Fingerprint> {
-        let due = |e: &&mut Ended| e.open && now.saturating_sub(e.at) >= after;
+    pub(super) fn take_unjudged(&mut self, after: Duration, now: Duration) -> Vec<Fingerprint> {
+        let due = |e: &&mut CrashRecord| e.unjudged && now.saturating_sub(e.at) >= after;
         let mut runs = Vec::new();
-        for ended in self.list.iter_mut().filter(due) {
-            ended.open = false;
-            runs.extend(ended.runs.iter().map(|r| r.fingerprint));
+        for crash in self.list.iter_mut().filter(due) {
+            crash.unjudged = false;
+            runs.extend(crash.runs.iter().map(|r| r.fingerprint));
         }
         runs.sort_unstable();
         runs.dedup();
@@ -125,49 +128,52 @@
     /// What the crashes say against a request.
     pub(super) fn blame(&self, run: &Fingerprint) -> u32 {
         let on = self.list.iter().filter(|e| e.counts_for(run));
-        on.map(|e| self.share(e, run)).sum()
+        on.map(|e| self.blame_for(e, run)).sum()
     }
 
     /// The crashes during trials of a request that have no other cause in sight.
-    pub(super) fn on_trial<'a>(&'a self, run: &'a Fingerprint) -> impl Iterator<Item = &'a Ended> {
+    pub(super) fn on_trial<'a>(
+        &'a self,
+        run: &'a Fingerprint,
+    ) -> impl Iterator<Item = &'a CrashRecord> {
         let on = self.list.iter().filter(|e| e.counts_for(run));
         let apart = on.filter(|e| e.find(run).is_ok_and(|i| e.runs[i].on_trial));
         apart.filter(|e| !self.coincides(e, run))
     }
 
-    fn share(&self, ended: &Ended, run: &Fingerprint) -> u32 {
-        let established = ended.find(run).is_ok_and(|i| ended.runs[i].established);
-        match established || self.coincides(ended, run) {
-            true => LESS,
-            false => FULL,
+    fn blame_for(&self, crash: &CrashRecord, run: &Fingerprint) -> u32 {
+        let established = crash.find(run).is_ok_and(|i| crash.runs[i].established);
+        match established || self.coincides(crash, run) {
+            true => REDUCED_BLAME,
+            false => FULL_BLAME,
         }
     }
 
     /// Whether another target ended about then on which the request was not, nor any trial, which would explain it.
-    fn coincides(&self, ended: &Ended, run: &Fingerprint) -> bool {
-        let near = |other: &&Ended| other.at.abs_diff(ended.at) <= COINCIDENCE;
+    fn coincides(&self, crash: &CrashRecord, run: &Fingerprint) -> bool {
+        let near = |other: &&CrashRecord| other.at.abs_diff(crash.at) <= COINCIDENCE_WINDOW;
         let others = self.list.iter().filter(near);
-        let mut others = others.filter(|other| other.life != ended.life);
+        let mut others = others.filter(|other| other.incarnation != crash.incarnation);
         others.any(|other| !other.has(run) && !other.runs.iter().any(|r| r.on_trial))
     }
 
     /// Puts the crashes that a request was on down to it.
-    pub(super) fn explain(&mut self, run: &Fingerprint) {
-        for ended in &mut self.list {
-            if ended.explained_by.is_none() && ended.has(run) {
-                ended.explained_by = Some(*run);
+    pub(super) fn attribute_to(&mut self, run: &Fingerprint) {
+        for crash in &mut self.list {
+            if crash.attributed_to.is_none() && crash.has(run) {
+                crash.attributed_to = Some(*run);
             }
         }
     }
 
     /// Takes a request off all crashes: it has survived a run.
     pub(super) fn clear(&mut self, run: &Fingerprint) {
-        for ended in &mut self.list {
-            if let Ok(i) = ended.find(run) {
-                ended.runs.remove(i);
+        for crash in &mut self.list {
+            if let Ok(i) = crash.find(run) {
+                crash.runs.remove(i);
             }
-            if ended.explained_by == Some(*run) {
-                ended.explained_by = None;
+            if crash.attributed_to == Some(*run) {
+                crash.attributed_to = None;
             }
         }
     }
--- a/crates/stair-fleet/src/quarantine/ledger.rs
+++ b/crates/stair-fleet/src/quarantine/ledger.rs
@@ -6,12 +6,12 @@
 use stair_types::Fingerprint;
 
 use super::{
-    BLAME_TIME,
+    BLAME_TTL,
     Crash,
-    HOLD_TIMES,
     Notice,
     QUARANTINE_BLAME,
-    SETTLE_TIME,
+    QUARANTINE_DURATIONS,
+    SETTLE_DELAY,
     SUSPECT_BLAME,
     Standing,
     crashes::Crashes,
@@ -22,7 +22,7 @@
 const MAX_RECORDS: usize = 4096;
 
 /// Blame that stays with a request that was quarantined: one more crash is enough.
-const KEPT_BLAME: u32 = QUARANTINE_BLAME - 1;
+const RETAINED_BLAME: u32 = QUARANTINE_BLAME - 1;
 
 /// What one agent knows of the requests that were on targets when they ended.
 #[derive(Debug, Clone, Default)]
@@ -39,11 +39,13 @@
     #[serde(serialize_with = "as_text")]
     fingerprint: Fingerprint,
     /// Blame beyond that for the crashes that are known here.
-    kept_blame: u32,
+    #[serde(rename = "kept_blame")]
+    retained_blame: u32,
     /// When it was suspected last.
     at: Duration,
     /// Until when it is not run.
-    held_until: Option<Duration>,
+    #[serde(rename = "held_until")]
+    quarantined_until: Option<Duration>,
     /// How often it has been quarantined.
     #[serde(rename = "holds")]
     quarantine_count: usize,
@@ -58,14 +60,18 @@
     /// Judges the requests of all crashes that every entry has had the time to report, and returns whose standing
     /// has changed.
     pub fn settle(&mut self, now: Duration) -> Vec<Notice> {
-        self.records.retain(|r| r.lasts(now));
-        let runs = self.crashes.take_open(SETTLE_TIME, now);
-        let (held, mut free): (Vec<_>, Vec<_>) =
-            runs.into_iter().partition(|run| self.is_held(run, now));
-        held.iter().for_each(|run| self.crashes.explain(run));
+        self.records.retain(|r| r.is_current(now));
+        let runs = self.crashes.take_unjudged(SETTLE_DELAY, now);
+        let (quarantined, mut others): (Vec<_>, Vec<_>) = runs
+            .into_iter()
+            .partition(|run| self.is_quarantined(run, now));
+        quarantined
+            .iter()
+            .for_each(|run| self.crashes.attribute_to(run));
         // The most blamed first: the crashes that it explains are not put down to others.
-        free.sort_by_cached_key(|run| std::cmp::Reverse(self.blame(run)));
-        free.into_iter()
+        others.sort_by_cached_key(|run| std::cmp::Reverse(self.blame(run)));
+        others
+            .into_iter()
             .filter_map(|run| self.judge(run, now))
             .collect()
     }
@@ -83,25 +89,28 @@
         if !guilty {
             return (!known).then(|| record.notice(now));
         }
-        let hold = HOLD_TIMES[record.quarantine_count.min(HOLD_TIMES.len() - 1)];
-        record.held_until = Some(now + hold);
+        let duration =
+            QUARANTINE_DURATIONS[record.quarantine_count.min(QUARANTINE_DURATIONS.len() - 1)];
+        record.quarantined_until = Some(now + duration);
         record.quarantine_count += 1;
-        record.kept_blame = KEPT_BLAME;
+        record.retained_blame = RETAINED_BLAME;
         let notice = record.notice(now);
-        self.crashes.explain(&run);
+        self.crashes.attribute_to(&run);
         Some(notice)
     }
 
     /// All that speaks against a request.
     fn blame(&self, run: &Fingerprint) -> u32 {
-        let kept = self.find(run).map_or(0, |i| self.records[i].kept_blame);
-        kept + self.crashes.blame(run)
+        let retained = self.find(run).map_or(0, |i| self.records[i].retained_blame);
+        retained + self.crashes.blame(run)
     }
 
     /// Whether a target ended during a trial of the request, and no other is blamed as much that was there.
     fn is_convicted(&self, run: &Fingerprint) -> bool {
         let blame = |other: &Fingerprint| self.blame(other);
-        self.crashes.on_trial(run).any(|c| c.is_led_by(run, blame))
+        self.crashes
+            .on_trial(run)
+            .any(|c| c.is_most_blamed(run, blame))
     }
 
     /// Notes that a request has survived a run. Whether it was suspected.
@@ -115,7 +124,7 @@
     /// Takes in what another process knows, and returns it if it was not known here.
     pub fn merge(&mut self, notice: &Notice, now: Duration) -> Option<Notice> {
         let known = self.find(&notice.fingerprint).is_ok();
-        let was_held = self.is_held(&notice.fingerprint, now);
+        let was_quarantined = self.is_quarantined(&notice.fingerprint, now);
         if notice.standing == Standing::Cleared {
             return None;
         }
@@ -124,10 +133,10 @@
         let Standing::Quarantined(left) = notice.standing else {
             return (!known).then_some(*notice);
         };
-        record.held_until = record.held_until.max(Some(now + left));
+        record.quarantined_until = record.quarantined_until.max(Some(now + left));
         record.quarantine_count = record.quarantine_count.max(1);
-        record.kept_blame = KEPT_BLAME;
-        (!was_held).then_some(*notice)
+        record.retained_blame = RETAINED_BLAME;
+        (!was_quarantined).then_some(*notice)
     }
 
     /// Begins a run of a suspect at a target for the entry of a link, unless another is in the way.
@@ -138,7 +147,7 @@
         owner: u64,
         now: Duration,
     ) -> bool {
-        !self.is_held(&run, now) && self.trials.begin(run, target, owner, now)
+        !self.is_quarantined(&run, now) && self.trials.begin(run, target, owner, now)
     }
 
     /// Notes that such a run has ended.
@@ -147,13 +156,13 @@
     }
 
     /// Notes that the entry of a link has gone.
-    pub fn owner_gone(&mut self, owner: u64, now: Duration) {
-        self.trials.owner_gone(owner, now);
+    pub fn owner_disconnected(&mut self, owner: u64, now: Duration) {
+        self.trials.owner_disconnected(owner, now);
     }
 
     /// The standing of all requests that have one.
     pub fn notices(&self, now: Duration) -> Vec<Notice> {
-        let lasting = self.records.iter().filter(|r| r.lasts(now));
+        let lasting = self.records.iter().filter(|r| r.is_current(now));
         lasting.map(|r| r.notice(now)).collect()
     }
 
@@ -162,8 +171,9 @@
         &self.records
     }
 
-    fn is_held(&self, run: &Fingerprint, now: Duration) -> bool {
-        self.find(run).is_ok_and(|i| self.records[i].held(now))
+    fn is_quarantined(&self, run: &Fingerprint, now: Duration) -> bool {
+        self.find(run)
+            .is_ok_and(|i| self.records[i].is_quarantined(now))
     }
 
     fn find(&self, run: &Fingerprint) -> Result<usize, usize> {
@@ -181,9 +191,9 @@
         let i = self.find(&run).unwrap_or_else(|i| i);
         let record = Record {
             fingerprint: run,
-            kept_blame: 0,
+            retained_blame: 0,
             at: now,
-            held_until: None,
+            quarantined_until: None,
             quarantine_count: 0,
         };
         self.records.insert(i, record);
@@ -191,23 +201,23 @@
     }
 
     fn evict(&mut self, now: Duration) {
-        let weight = |r: &Record| (r.held(now), r.at);
+        let weight = |r: &Record| (r.is_quarantined(now), r.at);
         let least = (0..self.records.len()).min_by_key(|i| weight(&self.records[*i]));
         least.map(|i| self.records.remove(i));
     }
 }
 
 impl Record {
-    fn held(&self, now: Duration) -> bool {
-        self.held_until.is_some_and(|t| now < t)
+    fn is_quarantined(&self, now: Duration) -> bool {
+        self.quarantined_until.is_some_and(|t| now < t)
     }
 
-    fn lasts(&self, now: Duration) -> bool {
-        self.held(now) || now.saturating_sub(self.at) < BLAME_TIME
+    fn is_current(&self, now: Duration) -> bool {
+        self.is_quarantined(now) || now.saturating_sub(self.at) < BLAME_TTL
     }
 
     fn notice(&self, now: Duration) -> Notice {
-        let left = self.held_until.map(|t| t.saturating_sub(now));
+        let left = self.quarantined_until.map(|t| t.saturating_sub(now));
         let standing = match left {
             Some(left) if !left.is_zero() => Standing::Quarantined(left),
             _ => Standing::Suspect,
--- a/crates/stair-fleet/src/quarantine/trials.rs
+++ b/crates/stair-fleet/src/quarantine/trials.rs
@@ -5,10 +5,10 @@
 use stair_types::Fingerprint;
 
 /// Time after which a run is taken to have ended: longer than clients wait.
-const TRIAL_TIME: Duration = Duration::from_secs(20);
+const TRIAL_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// Time after a run's end in which the same request waits, for a crash to be reported and judged.
-const VERDICT_TIME: Duration = Duration::from_millis(1200);
+const VERDICT_DELAY: Duration = Duration::from_millis(1200);
 
 /// Runs that are kept at most; more suspects wait.
 const MAX_TRIALS: usize = 256;
@@ -47,7 +47,7 @@
             fingerprint,
             target: target.into(),
             owner,
-            until: now + TRIAL_TIME,
+            until: now + TRIAL_TIMEOUT,
         });
         true
     }
@@ -58,7 +58,7 @@
             .list
             .iter_mut()
             .filter(|t| t.fingerprint == fingerprint);
-        of.for_each(|t| t.until = t.until.min(now + VERDICT_TIME));
+        of.for_each(|t| t.until = t.until.min(now + VERDICT_DELAY));
     }
 
     /// Forgets a request that has survived its run.
@@ -67,8 +67,8 @@
     }
 
     /// Notes that the entry of a link has gone, and its runs with it.
-    pub(super) fn owner_gone(&mut self, owner: u64, now: Duration) {
+    pub(super) fn owner_disconnected(&mut self, owner: u64, now: Duration) {
         let of = self.list.iter_mut().filter(|t| t.owner == owner);
-        of.for_each(|t| t.until = t.until.min(now + VERDICT_TIME));
+        of.for_each(|t| t.until = t.until.min(now + VERDICT_DELAY));
     }
 }
--- a/crates/stair-fleet/src/quarantine/watchlist.rs
+++ b/crates/stair-fleet/src/quarantine/watchlist.rs
@@ -8,7 +8,7 @@
 };
 
 use super::{
-    BLAME_TIME,
+    BLAME_TTL,
     Notice,
     Standing, //
 };
@@ -27,7 +27,7 @@
 struct Watched {
     fingerprint: Fingerprint,
     /// Until when it is not run; a suspect from then on.
-    held_until: Duration,
+    quarantined_until: Duration,
     forget_at: Duration,
 }
 
@@ -46,7 +46,7 @@
     /// What is known of a request; `None` for an ordinary one.
     pub fn standing(&self, fingerprint: &Fingerprint, now: Duration) -> Option<Standing> {
         let watched = self.list[self.find(fingerprint).ok()?];
-        match watched.held_until.saturating_sub(now) {
+        match watched.quarantined_until.saturating_sub(now) {
             Duration::ZERO if now >= watched.forget_at => None,
             Duration::ZERO => Some(Standing::Suspect),
             left => Some(Standing::Quarantined(left)),
@@ -56,9 +56,9 @@
     /// Takes in what is known of a request, and tells whether that is new.
     pub fn apply(&mut self, notice: &Notice, now: Duration) -> bool {
         self.list
-            .retain(|w| now < w.forget_at || now < w.held_until);
+            .retain(|w| now < w.forget_at || now < w.quarantined_until);
         let before = self.standing(&notice.fingerprint, now);
-        let held_until = match notice.standing {
+        let quarantined_until = match notice.standing {
             Standing::Cleared => return self.remove(&notice.fingerprint),
             Standing::Suspect => Duration::ZERO,
             Standing::Quarantined(left) => now + left,
@@ -66,28 +66,28 @@
         match self.find(&notice.fingerprint) {
             Ok(i) => {
                 let watched = &mut self.list[i];
-                watched.held_until = watched.held_until.max(held_until);
-                watched.forget_at = now + BLAME_TIME;
+                watched.quarantined_until = watched.quarantined_until.max(quarantined_until);
+                watched.forget_at = now + BLAME_TTL;
             }
-            Err(_) => self.insert(notice.fingerprint, held_until, now),
+            Err(_) => self.insert(notice.fingerprint, quarantined_until, now),
         }
         let kind = |s: Option<Standing>| s.map(|s| std::mem::discriminant(&s));
         kind(before) != kind(self.standing(&notice.fingerprint, now))
     }
 
-    fn insert(&mut self, fingerprint: Fingerprint, held_until: Duration, now: Duration) {
+    fn insert(&mut self, fingerprint: Fingerprint, quarantined_until: Duration, now: Duration) {
         if self.list.len() >= MAX_WATCHED {
-            let held = now < held_until;
-            let suspect = self.list.iter().position(|w| w.held_until <= now);
-            match suspect.filter(|_| held) {
+            let is_quarantined = now < quarantined_until;
+            let suspect = self.list.iter().position(|w| w.quarantined_until <= now);
+            match suspect.filter(|_| is_quarantined) {
                 Some(i) => drop(self.list.remove(i)),
                 None => return,
             }
         }
         let watched = Watched {
             fingerprint,
-            held_until,
-            forget_at: now + BLAME_TIME,
+            quarantined_until,
+            forget_at: now + BLAME_TTL,
         };
         if let Err(i) = self.find(&fingerprint) {
             self.list.insert(i, watched);
--- a/crates/stair-fleet/tests/balance.rs
+++ b/crates/stair-fleet/tests/balance.rs
@@ -31,8 +31,8 @@
         view,
         service: SERVICE,
         engine: &engine(),
-        asked: &[],
-        left_alone: &[],
+        requested: &[],
+        excluded: &[],
         store,
     };
     let found = balance::next(&opts, NOW)?;
--- a/crates/stair-fleet/tests/cold_start.rs
+++ b/crates/stair-fleet/tests/cold_start.rs
@@ -130,7 +130,7 @@
     assert_eq!(joined.key, keys[0]);
     let (nothing, _) = fleet(vec![]);
     let found = find(&nothing, SERVICE, &engine(), "a", &[], NOW);
-    assert_eq!(found, Err(Error::Nowhere));
+    assert_eq!(found, Err(Error::NoCapacity));
 }
 
 /// All agents are silent: nobody may order the engines.
@@ -163,7 +163,7 @@
     } = prefetch::next(&known.0, SERVICE, &engine(), &[], NOW).expect("a load");
     assert_eq!((&*model, at.key), ("a", known.1[0]));
     assert!(at.victims.is_empty());
-    let asked = prefetch::Asked {
+    let asked = prefetch::RequestedLoad {
         key: known.1[0],
         model: "a".into(),
     };
@@ -243,7 +243,7 @@
         (&*model, at.key, at.from),
         ("a", keys[1], CopyLocation::Store)
     );
-    let asked = prefetch::Asked { key: at.key, model };
+    let asked = prefetch::RequestedLoad { key: at.key, model };
     let then = prefetch::next(&view, SERVICE, &engine(), &[asked], NOW);
     let fetched = then.filter(|o| o.place.from == CopyLocation::Store);
     assert_eq!(fetched, None, "the one engine is asked, the other is busy");
@@ -262,7 +262,7 @@
         model, place: at, ..
     } = prefetch::next(&view, SERVICE, &engine(), &[], NOW).expect("a load");
     assert_eq!((&*model, at.from), ("f", CopyLocation::Store));
-    let asked = prefetch::Asked { key: at.key, model };
+    let asked = prefetch::RequestedLoad { key: at.key, model };
     let then = prefetch::next(&view, SERVICE, &engine(), &[asked], NOW);
     let again = then.filter(|o| *o.model == *"f");
     assert_eq!(again, None);
@@ -311,7 +311,7 @@
     view.set_inventory_at(support::addr(0), support::inventory(&[], &[]), young);
     view.set_load_at(support::addr(0), report(&[], &[]).load, young);
     let found = find(&view, SERVICE, &engine(), "a", &[], young);
-    assert_eq!(found, Err(Error::Unheard));
+    assert_eq!(found, Err(Error::MissingReports));
     assert_eq!(prefetch::next(&view, SERVICE, &engine(), &[], young), None);
     let older = ms(2600);
     let found = find(&view, SERVICE, &engine(), "a", &[], older).expect("a place");
--- a/crates/stair-fleet/tests/fetch.rs
+++ b/crates/stair-fleet/tests/fetch.rs
@@ -39,7 +39,7 @@
 
 fn at_once(engine: &Engine, reports: Vec<Report>) -> usize {
     let (view, _) = fleet(reports);
-    fetch::at_once(&view, SERVICE, engine, NOW)
+    fetch::concurrency_limit(&view, SERVICE, engine, NOW)
 }
 
 fn fetched(together: u32, times: f32) -> Report {
@@ -105,7 +105,7 @@
 /// One of the loads that are of use is left for a request that waits for it.
 #[test]
 fn one_is_kept_free() {
-    let ahead = |engine: &Engine| fetch::prefetches(&View::default(), SERVICE, engine, NOW);
+    let ahead = |engine: &Engine| fetch::prefetch_limit(&View::default(), SERVICE, engine, NOW);
     assert_eq!(ahead(&by_link()), 3);
     assert_eq!(ahead(&by_store()), 1);
 }
--- a/crates/stair-fleet/tests/quarantine.rs
+++ b/crates/stair-fleet/tests/quarantine.rs
@@ -4,11 +4,11 @@
 
 use stair_fleet::quarantine::{
     Crash,
-    HOLD_TIMES,
     Ledger,
     Notice,
+    QUARANTINE_DURATIONS,
     Run,
-    SETTLE_TIME,
+    SETTLE_DELAY,
     Standing,
     Watchlist, //
 };
@@ -65,14 +65,14 @@
             Some(_) => trial(n),
         };
         let crash = Crash {
-            life: format!("i-{}", self.ended).into(),
+            incarnation: format!("i-{}", self.ended).into(),
             runs: runs.iter().copied().map(one).collect(),
         };
         self.ledger.report(&crash, self.now);
     }
 
     fn settle(&mut self) -> Vec<Notice> {
-        self.now += SETTLE_TIME;
+        self.now += SETTLE_DELAY;
         self.ledger.settle(self.now)
     }
 
@@ -101,7 +101,7 @@
     rig.crash(&[1]);
     assert_eq!(rig.standing(1), Some(Standing::Suspect));
     let notices = rig.crash(&[1]);
-    let held = Standing::Quarantined(HOLD_TIMES[0]);
+    let held = Standing::Quarantined(QUARANTINE_DURATIONS[0]);
     assert_eq!(notices[0].standing, held);
 }
 
@@ -151,7 +151,7 @@
             ..run(1)
         };
         let crash = Crash {
-            life: format!("l-{n}").into(),
+            incarnation: format!("l-{n}").into(),
             runs: vec![late, run(10 + n)],
         };
         rig.ledger.report(&crash, rig.now);
@@ -208,10 +208,10 @@
     let now = rig.now;
     for n in 0..20 {
         let crash = Crash {
-            life: "i-1".into(),
+            incarnation: "i-1".into(),
             runs: vec![run(1), run(2 + n)],
         };
-        let at = now + SETTLE_TIME / 10 * n as u32;
+        let at = now + SETTLE_DELAY / 10 * n as u32;
         rig.ledger.report(&crash, at);
         rig.ledger.settle(at);
     }
@@ -225,7 +225,7 @@
 fn comes_back() {
     let mut rig = Rig::default();
     (0..3).for_each(|_| drop(rig.crash(&[1])));
-    for hold in &HOLD_TIMES[1..] {
+    for hold in &QUARANTINE_DURATIONS[1..] {
         assert!(!rig.ledger.begin_trial(request(1), "i-a", 1, rig.now));
         let Some(Standing::Quarantined(left)) = rig.standing(1) else {
             panic!("not quarantined");
@@ -246,7 +246,7 @@
     let Some(Standing::Quarantined(left)) = rig.standing(1) else {
         panic!("not quarantined");
     };
-    assert!(left <= HOLD_TIMES[0]);
+    assert!(left <= QUARANTINE_DURATIONS[0]);
 }
 
 /// A ledger that has started anew learns from entries what it lost.
@@ -283,7 +283,7 @@
     let now = rig.now;
     assert!(rig.ledger.begin_trial(request(1), "i-a", 7, now));
     assert!(!rig.ledger.begin_trial(request(2), "i-a", 8, now));
-    rig.ledger.owner_gone(7, now);
+    rig.ledger.owner_disconnected(7, now);
     assert!(
         rig.ledger
             .begin_trial(request(2), "i-a", 8, now + 2 * LATER)
--- a/crates/stair-fleet/tests/quarantine_load.rs
+++ b/crates/stair-fleet/tests/quarantine_load.rs
@@ -8,9 +8,9 @@
 use stair_fleet::quarantine::{
     self,
     Crash,
-    ESTABLISHED_TIME,
+    ESTABLISHED_DURATION,
     Ledger,
-    SETTLE_TIME,
+    SETTLE_DELAY,
     Standing,
     Watchlist, //
 };
@@ -96,7 +96,7 @@
 
 #[derive(Default)]
 struct Target {
-    life: usize,
+    incarnation: usize,
     back: Duration,
     runs: Vec<Run>,
 }
@@ -235,16 +235,16 @@
             return;
         }
         target.back = self.now + DOWN;
-        target.life += 1;
-        let life = format!("{t}-{}", target.life).into();
+        target.incarnation += 1;
+        let incarnation = format!("{t}-{}", target.incarnation).into();
         let runs = std::mem::take(&mut target.runs);
         let crash = Crash {
-            life,
+            incarnation,
             runs: runs
                 .iter()
                 .map(|r| quarantine::Run {
                     fingerprint: fingerprint(r.client.request),
-                    established: self.now - r.begun >= ESTABLISHED_TIME,
+                    established: self.now - r.begun >= ESTABLISHED_DURATION,
                     on_trial: r.trial,
                 })
                 .collect(),
@@ -280,7 +280,7 @@
             for run in &crash.runs {
                 *self.strikes.entry(run.fingerprint).or_default() += 1;
             }
-            self.looks.push(now + SETTLE_TIME);
+            self.looks.push(now + SETTLE_DELAY);
         }
         if self.looks.iter().any(|at| *at <= now) {
             self.looks.retain(|at| *at > now);
@@ -321,8 +321,8 @@
                 continue;
             };
             let trial = standing.is_some();
-            let life = format!("{t}-{}", self.targets[t].life);
-            if trial && !self.ledger.begin_trial(run, &life, 0, now) {
+            let incarnation = format!("{t}-{}", self.targets[t].incarnation);
+            if trial && !self.ledger.begin_trial(run, &incarnation, 0, now) {
                 client.at = now + Duration::from_millis(100);
                 self.waiting.push(client);
                 continue;
--- a/crates/stair-relay/src/admit.rs
+++ b/crates/stair-relay/src/admit.rs
@@ -128,7 +128,7 @@
     let mut job = Job {
         shared: shared(&meta),
         parts: parts(&meta),
-        more_urgent: catalogue.more_urgent(&service, rank(&route, workspace.as_ref())),
+        more_urgent: catalogue.more_urgent_objective(&service, rank(&route, workspace.as_ref())),
         pause: catalogue.shortest_pause(&service),
         meta,
         route,
--- a/crates/stair-relay/src/crash.rs
+++ b/crates/stair-relay/src/crash.rs
@@ -13,7 +13,7 @@
 use stair_fleet::{
     quarantine::{
         Crash,
-        ESTABLISHED_TIME,
+        ESTABLISHED_DURATION,
         Run, //
     },
     target::State,
@@ -192,7 +192,7 @@
 fn note(cx: &Arc<Context>, job: &Job, key: TargetKey, begun: Option<Instant>, how: How) {
     let run = Run {
         fingerprint: job.fingerprint(),
-        established: begun.is_some_and(|t| t.elapsed() >= ESTABLISHED_TIME),
+        established: begun.is_some_and(|t| t.elapsed() >= ESTABLISHED_DURATION),
         on_trial: job.is_on_trial(),
     };
     let (life, addr, first, ended) = {
@@ -292,5 +292,11 @@
         Some(started) => format!("{}@{started}", life.id).into(),
         None => life.id.clone(),
     };
-    quarantine::report(cx, Crash { life, runs });
+    quarantine::report(
+        cx,
+        Crash {
+            incarnation: life,
+            runs,
+        },
+    );
 }
--- a/crates/stair-relay/src/load.rs
+++ b/crates/stair-relay/src/load.rs
@@ -86,7 +86,7 @@
             Line::new("wake.nowhere")
                 .text("id", &job.meta.id)
                 .text("model", model)
-                .show("why", format_args!("{e:?}"))
+                .show("why", e)
                 .write();
             wait_for_store(engine, model, e, until).await
         }
@@ -187,8 +187,8 @@
 ) -> Loaded {
     let load = engine.model(model).map_or(COME_BACK, |m| m.from_store);
     match why {
-        cold_start::Error::Nowhere => return Loaded::Nowhere,
-        cold_start::Error::Unheard => {
+        cold_start::Error::NoCapacity => return Loaded::Nowhere,
+        cold_start::Error::MissingReports => {
             sleep(LOOK_EVERY).await;
             return Loaded::Waited;
         }
@@ -213,7 +213,7 @@
     let (addr, together) = {
         let state = cx.state();
         let target = &state.view.get(at.key).target;
-        let others = fetch::under_way(&state.view, &target.service, cx.now());
+        let others = fetch::in_progress(&state.view, &target.service, cx.now());
         (target.addr, u32::try_from(others + 1).unwrap_or(u32::MAX))
     };
     let req = LoadRequest {
--- a/crates/stair-relay/src/place.rs
+++ b/crates/stair-relay/src/place.rs
@@ -144,6 +144,6 @@
     if !job.route.stream || after_event.is_some() {
         return job.deadline;
     }
-    let leaves = job.route.client_waits().saturating_sub(REFUSAL_TIME);
+    let leaves = job.route.client_timeout().saturating_sub(REFUSAL_TIME);
     job.deadline.min(job.received + leaves)
 }
--- a/crates/stair-relay/src/prefetch.rs
+++ b/crates/stair-relay/src/prefetch.rs
@@ -7,7 +7,7 @@
 
 use stair_fleet::prefetch::{
     self,
-    Asked, //
+    RequestedLoad, //
 };
 use stair_telemetry::event::Line;
 use tokio::time::sleep;
@@ -31,7 +31,7 @@
 
 /// Looks for loads worth making, for as long as the process runs.
 pub async fn keep(cx: Arc<Context>) {
-    let mut asked: Vec<(Asked, PendingLoad)> = Vec::new();
+    let mut asked: Vec<(RequestedLoad, PendingLoad)> = Vec::new();
     loop {
         sleep(EVERY).await;
         // An engine is asked for one load at a time.
@@ -40,7 +40,7 @@
             continue;
         }
         for _ in 0..AT_ONCE {
-            let list: Vec<Asked> = asked.iter().map(|(a, _)| a.clone()).collect();
+            let list: Vec<RequestedLoad> = asked.iter().map(|(a, _)| a.clone()).collect();
             let Some(found) = next(&cx, &list) else {
                 break;
             };
@@ -58,7 +58,7 @@
                 break;
             };
             asked.push((
-                Asked {
+                RequestedLoad {
                     key: place.key,
                     model,
                 },
@@ -75,7 +75,7 @@
     peers.is_none_or(|(p, _)| p.least_name >= cx.settings.name)
 }
 
-fn next(cx: &Context, asked: &[Asked]) -> Option<prefetch::Outcome> {
+fn next(cx: &Context, asked: &[RequestedLoad]) -> Option<prefetch::Outcome> {
     let state = cx.state();
     let catalogue = state.catalogue.as_ref()?;
     let mut engines = catalogue
--- a/crates/stair-relay/src/quarantine.rs
+++ b/crates/stair-relay/src/quarantine.rs
@@ -18,7 +18,7 @@
         Crash,
         Ledger,
         Notice,
-        SETTLE_TIME,
+        SETTLE_DELAY,
         Standing,
         ToLedger,
         ToWatchlist,
@@ -233,7 +233,7 @@
     drop(state);
     let cx = cx.clone();
     tokio::spawn(async move {
-        sleep(SETTLE_TIME).await;
+        sleep(SETTLE_DELAY).await;
         let now = cx.now();
         let new = cx.state().quarantine.own.settle(now);
         apply(&cx, &new);
--- a/crates/stair-relay/src/stream.rs
+++ b/crates/stair-relay/src/stream.rs
@@ -339,7 +339,7 @@
         if !resumable || !self.tried.may_run_again(&self.job) {
             return self.job.deadline;
         }
-        let pause = self.job.route.client_waits() / HUNG_PART;
+        let pause = self.job.route.client_timeout() / HUNG_PART;
         (Instant::now() + pause).min(self.job.deadline)
     }
 
--- a/crates/stair-sidecar/src/quarantine.rs
+++ b/crates/stair-sidecar/src/quarantine.rs
@@ -17,7 +17,7 @@
     quarantine::{
         Ledger,
         Notice,
-        SETTLE_TIME,
+        SETTLE_DELAY,
         Standing,
         ToLedger,
         ToWatchlist, //
@@ -76,7 +76,7 @@
         let now = self.now();
         let mut inner = self.lock();
         inner.links.retain(|(k, _)| *k != key);
-        inner.ledger.owner_gone(key.0, now);
+        inner.ledger.owner_disconnected(key.0, now);
     }
 
     /// Takes in what an entry says; `tx` goes to that entry.
@@ -87,7 +87,7 @@
                 self.lock().ledger.report(&crash, now);
                 let own = self.clone();
                 tokio::spawn(async move {
-                    sleep(SETTLE_TIME).await;
+                    sleep(SETTLE_DELAY).await;
                     own.settle();
                 });
             }
