--- a/crates/stair-fleet/src/balance.rs
+++ b/crates/stair-fleet/src/balance.rs
@@ -1,10 +1,12 @@
 //! Chooses the model that gets a further replica, and the replicas that are evicted for it.
 //!
-//! Load: demand for a few models moves within seconds, and prompts on one engine delay the streams beside them. Moves
-//! minimise the expected number of waiting requests: `w * w / 2` at an engine that spends a part `w` of its time on
-//! prefill, and a swap for each request of a model without a replica.
+//! Demand for a few models moves within seconds, and prompts on one engine delay the streams beside
+//! them. A move minimises the expected number of waiting requests: `w * w / 2` at an engine that
+//! spends a fraction `w` of its time on prefill, and a swap for each request of a model without a
+//! replica.
 //!
-//! Invariant: each move lowers that number by a margin, so moves end under steady demand and never undo each other.
+//! Invariant: each move lowers that number by a least gain, so moves end under steady demand and
+//! never undo each other.
 
 use std::time::Duration;
 
@@ -20,7 +22,7 @@
     },
 };
 
-/// Expected queue of a model without a replica, per request a second: the seconds of a swap.
+/// Expected queue of a model without a replica, per request per second: the seconds of a swap.
 const ABSENT_QUEUE_PER_RATE: f64 = 1.0;
 
 /// The least expected queue of a model without a replica.
@@ -29,38 +31,40 @@
 /// The least gain of a move that evicts nothing, in waiting requests.
 const MIN_GAIN_WITHOUT_EVICTION: f64 = 0.02;
 
-/// The same with evictions. Rates waver, and without a margin the next look would undo the move.
+/// The same with evictions. Measured rates fluctuate, and without a least gain the next search
+/// would undo the move.
 const MIN_GAIN_WITH_EVICTION: f64 = 0.125;
 
-/// The same for a load from the weight store, which lasts about as long as demand stays.
+/// The same for a load from the weight store, which takes about as long as demand lasts.
 const MIN_GAIN_FROM_STORE: f64 = 0.2;
 
-/// Part of the gain that is left when a victim has requests in flight: its engine takes no order until they end.
+/// Fraction of the gain that remains when a victim has requests in flight: its engine takes no
+/// order until they end.
 const BUSY_VICTIM_FRACTION: f64 = 0.5;
 
 /// Models considered for a load from the weight store: those with the busiest replicas.
 const MAX_STORE_MODELS: usize = 3;
 
-/// Engines considered for such a load: those with the least to do.
+/// Engines considered for such a load: those with the least prefill.
 const MAX_STORE_ENGINES: usize = 8;
 
-/// One engine.
+/// Load of one engine.
 struct TargetLoad<'a> {
     key: TargetKey,
     state: &'a TargetState,
     /// Whether it can be ordered to load now.
     can_load: bool,
-    /// Models that it holds or is loading.
+    /// Indexes of the models that it has loaded, is loading or was requested to load.
     models: Vec<usize>,
-    /// Part of its time that prompts take.
+    /// Fraction of its time that prefill takes.
     prefill_fraction: f64,
 }
 
-/// One model.
+/// Demand for one model.
 #[derive(Default, Clone)]
 struct Demand {
     per_s: f64,
-    /// Part of one engine's time that its prompts take.
+    /// Fraction of one engine's time that prefill of its prompts takes.
     prefill_fraction: f64,
     targets: Vec<usize>,
 }
@@ -78,7 +82,7 @@
     }
 }
 
-/// A move: a load, and what makes way for it.
+/// A load and its evictions.
 struct Move {
     model: usize,
     target: usize,
@@ -95,16 +99,16 @@
     now: Duration,
 }
 
-/// What is to be balanced.
+/// The service to be balanced.
 #[derive(Debug, Clone, Copy)]
 pub struct Options<'a> {
-    /// All that is known of the engines.
+    /// All that is known of its engines.
     pub view: &'a View,
     /// The service.
     pub service: &'a str,
-    /// What it declares.
+    /// The declaration of its engines.
     pub engine: &'a Engine,
-    /// Loads that were asked for; they count as replicas.
+    /// Loads that were requested; they count as replicas.
     pub requested: &'a [RequestedLoad],
     /// Engines that get no order.
     pub excluded: &'a [TargetKey],
@@ -112,19 +116,19 @@
     pub store: bool,
 }
 
-/// The move that was found.
+/// The best move.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Outcome {
     /// The model.
     pub model: Box<str>,
-    /// Where it is to be loaded. Its cost is the time until it is ready alone: what the models that
-    /// make way are missed is in the gain.
+    /// Its placement. The cost is only the time until it is ready: the eviction cost is part of
+    /// `gain`.
     pub place: cold_start::Outcome,
-    /// What decided: what the move takes off, in requests that wait at a time.
+    /// Reduction of the expected queue, in waiting requests.
     pub gain: f64,
 }
 
-/// Finds the move that takes the most off the fleet's expected queue, if one is worth its load.
+/// Finds the move that reduces the fleet's expected queue the most, if one is worth its load.
 pub fn next(opts: &Options<'_>, now: Duration) -> Option<Outcome> {
     let engine = opts.engine;
     let plan = Plan::new(opts, now);
@@ -236,7 +240,7 @@
         best
     }
 
-    /// The best move from the weight store, among the busiest models and the idlest engines.
+    /// The best move from the weight store, among the busiest models and the least busy engines.
     fn best_from_store(&self, opts: &Options<'_>) -> Option<Move> {
         let mut models: Vec<usize> = (0..self.models.len())
             .filter(|m| self.may_need_replica(*m))
@@ -272,16 +276,16 @@
         best
     }
 
-    /// Whether a further replica of a model could be worth anything.
+    /// Whether a further replica of a model could reach the least gain.
     fn may_need_replica(&self, model: usize) -> bool {
         let demand = &self.models[model];
         let alone = demand.share();
-        // The most that a move can take off: an engine with nothing else to do takes half of it.
+        // The upper bound of the gain: an engine without other load takes half of the prefill.
         !demand.targets.is_empty()
             && alone * demand.prefill_fraction / 2.0 > MIN_GAIN_WITHOUT_EVICTION
     }
 
-    /// The best way to bring a model to an engine, if it is worth the margin.
+    /// The best way to load a model at an engine, if it reaches the least gain.
     fn best_at(
         &self,
         model: usize,
@@ -298,7 +302,7 @@
         let taken: f64 = here.iter().map(size).sum();
         let needed = taken + size(&model) - self.model_memory_mb;
         let mut best = None;
-        // An engine holds three models at most, or a few small ones.
+        // An engine has at most three models, or a few small ones.
         for set in 0..1u32 << here.len().min(8) {
             let victims: Vec<usize> = (0..here.len().min(8))
                 .filter(|i| set & (1 << i) != 0)
@@ -328,7 +332,7 @@
         best
     }
 
-    /// What a move takes off the queue.
+    /// Reduction of the expected queue by a move.
     fn gain(&self, model: usize, target: usize, victims: &[usize]) -> f64 {
         let mut changes: Vec<(usize, f64)> = Vec::new();
         let demand = &self.models[model];
--- a/crates/stair-fleet/src/budget.rs
+++ b/crates/stair-fleet/src/budget.rs
@@ -1,7 +1,8 @@
 //! One entry's share of the retry budget.
 //!
-//! Load: targets fail or reject many requests at once, and retries would multiply them. An entry keeps to `ratio` of
-//! its own requests and an equal share of `extra`, so the sum over all entries holds without coordination.
+//! When targets fail or reject many requests at once, retries would multiply the load. Each entry
+//! limits its retries to `ratio` of its own requests and an equal share of `extra`, so the sum over
+//! all entries is bounded without coordination.
 
 use std::{
     collections::VecDeque,
@@ -10,27 +11,28 @@
 
 use serde::Serialize;
 
-/// The bound for all entries together, and the part of one.
+/// The bound for all entries together, and the number of shares.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize)]
 pub struct Options {
-    /// Retries for each request.
+    /// Retries per request.
     pub ratio: f64,
-    /// Retries in a window that no request has to pay for, over all entries.
+    /// Further retries per window over all entries, independent of the number of requests.
     pub extra: f64,
-    /// The window, which slides.
+    /// Length of the sliding window.
     pub window: Duration,
-    /// Entries that share `extra`. More than are expected at once: entries that were replaced
-    /// within the window have spent their part too.
+    /// Number of shares of `extra`. More than the entries expected at once, because entries that
+    /// were replaced within the window have spent shares too.
     pub entries: u32,
 }
 
-/// How many shares there are for each entry that is heard of: those that were replaced within the
-/// window have spent theirs too, and one that is cut off is not heard of and goes on spending.
+/// Shares per known entry. Entries that were replaced within the window have spent theirs, and an
+/// entry that is disconnected from the agents is not counted and continues to spend.
 const SHARES_PER_ENTRY: u32 = 2;
 
-/// Returns the number of entries that share `extra`: as many as the settings say, more when an agent
-/// hears of more. `counts` is what each agent says; the largest counts, as an agent that is cut off
-/// from most entries would have the rest take too large a share.
+/// Returns the number of shares of `extra`: the setting, or more if an agent counts more entries.
+///
+/// `counts` are the numbers of entries connected to each agent. The largest one is used: an agent
+/// that is disconnected from most entries would make the others take too large shares.
 pub fn entries<I>(settings: u32, counts: I) -> u32
 where
     I: IntoIterator<Item = u32>,
@@ -39,8 +41,8 @@
     settings.max(most.saturating_mul(SHARES_PER_ENTRY))
 }
 
-/// Part of the bound that is used: requests are counted when they arrive and retries when they
-/// are sent, so at the edge of a window the two can be off by a few.
+/// Fraction of the bound that is used. Requests are counted on arrival and retries when they are
+/// sent, so at the edge of a window the two can differ by a few.
 const USED_FRACTION: f64 = 0.8;
 
 /// Requests and retries of one service within the window.
@@ -52,7 +54,7 @@
 }
 
 impl Budget {
-    /// Makes an empty one.
+    /// Creates an empty budget.
     pub fn new(opts: Options) -> Self {
         Self {
             opts,
@@ -61,12 +63,12 @@
         }
     }
 
-    /// Changes the bound; what was counted stays.
+    /// Changes the bound; counted requests and retries stay.
     pub fn set_options(&mut self, opts: Options) {
         self.opts = opts;
     }
 
-    /// The bound.
+    /// Returns the bound.
     pub fn options(&self) -> Options {
         self.opts
     }
@@ -77,7 +79,7 @@
         self.requests.push_back(now);
     }
 
-    /// Takes a retry, and tells whether it may be made.
+    /// Counts a retry and returns true if the budget allows it.
     pub fn try_retry(&mut self, now: Duration) -> bool {
         self.expire(now);
         let earned = self.opts.ratio * self.requests.len() as f64;
@@ -89,7 +91,7 @@
         allowed
     }
 
-    /// Retries made within the window.
+    /// Number of retries within the window.
     pub fn spent(&self) -> usize {
         self.retries.len()
     }
--- a/crates/stair-fleet/src/catalogue.rs
+++ b/crates/stair-fleet/src/catalogue.rs
@@ -1,4 +1,5 @@
-//! Routes, services and models that operators declare; one version of it is in force as a whole.
+//! Routes, services and models that operators declare. One version of the catalogue is in force as
+//! a whole.
 
 use std::time::Duration;
 
@@ -15,26 +16,26 @@
 /// Everything that operators declare.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct Catalogue {
-    /// Rises with each change, by uneven steps.
+    /// Increases with each change, not always by one.
     pub version: u64,
-    /// Sorted by host, longest prefix first.
+    /// Sorted by host, then by length of the prefix, the longest first.
     pub routes: Vec<Route>,
     /// Sorted by name.
     pub services: Vec<Service>,
-    /// Bounds of what clients may send.
+    /// Limits on what clients may send.
     pub limits: Limits,
-    /// Who may send requests; `None` lets everyone.
+    /// Who may send requests; `None` for everyone.
     pub workspaces: Option<Workspaces>,
 }
 
-/// What a route's requests may be done with when an attempt fails.
+/// Whether a route's requests may be repeated when an attempt fails.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Repeat {
-    /// Runs at most once.
+    /// A request runs at most once.
     Never,
-    /// May run again from the start.
+    /// A request may run again from the start.
     Whole,
-    /// A stream that may go on elsewhere after its last event.
+    /// A stream that may continue on another target after its last event.
     FromEvent,
 }
 
@@ -43,37 +44,37 @@
 pub struct Route {
     /// For logs and metrics.
     pub name: Box<str>,
-    /// The host it belongs to.
+    /// The host that the route belongs to.
     pub host: Box<str>,
-    /// Begins and ends with a slash.
+    /// Path prefix; begins and ends with a slash.
     pub prefix: Box<str>,
-    /// Whether answers are streams of events.
+    /// Whether responses are streams of events.
     pub stream: bool,
-    /// What may be repeated.
+    /// Whether requests may be repeated.
     pub repeat: Repeat,
-    /// The longest that a request may be kept waiting.
+    /// The longest time that a request may wait.
     pub timeout: Duration,
-    /// The time for an answer, or a stream's first event, that clients are promised.
+    /// The time to a response, or to a stream's first event, that clients are promised.
     pub objective: Duration,
     /// The longest pause between a stream's events that clients are promised.
     pub gap: Option<Duration>,
-    /// 0 is served first.
+    /// Rank of the requests; 0 is served first.
     pub rank: u8,
-    /// Whether requests need no key where workspaces are declared.
+    /// Whether requests need no key when workspaces are declared.
     pub anonymous: bool,
-    /// Where requests go: services with their weights, never empty.
+    /// Services that requests go to, with their weights; never empty.
     pub to: Vec<Share>,
-    /// The number of targets that one request may be sent to.
+    /// Number of targets that one request may be sent to.
     pub attempts: u8,
 }
 
-/// Time for which clients wait for a stream's first event at least.
+/// Least time for which clients wait for a stream's first event.
 const MIN_CLIENT_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Objectives for which they do, if that is longer.
+/// Client timeout as a multiple of the objective, if that is longer.
 const CLIENT_TIMEOUT_OBJECTIVES: u32 = 4;
 
-/// Promised pauses for which they do, if that is longer.
+/// Client timeout as a multiple of the promised pause, if that is longer.
 const CLIENT_TIMEOUT_GAPS: u32 = 8;
 
 /// A service's share of a route.
@@ -81,7 +82,7 @@
 pub struct Share {
     /// The service.
     pub service: Box<str>,
-    /// In proportion to the other weights of the route.
+    /// Weight in proportion to the route's other weights.
     pub weight: u32,
 }
 
@@ -90,22 +91,22 @@
 pub struct Service {
     /// Its name.
     pub name: Box<str>,
-    /// Connections that one of its targets accepts from all clients together.
+    /// Connections that one target accepts from all clients together.
     pub max_connections: u32,
-    /// For model engines, what they hold and load.
+    /// The declaration of its engines, if its targets run models.
     pub engine: Option<Engine>,
 }
 
-/// The engines of one service.
+/// Declaration of the engines of one service.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct Engine {
-    /// Requests that run at once.
+    /// Requests that an engine runs concurrently.
     pub slots: u32,
     /// Memory for weights of models and adapters, in MB.
     pub weights_mb: f64,
-    /// Adapters that an engine holds or fetches at once.
+    /// Adapters that an engine has loaded or is loading at the same time.
     pub adapter_slots: u32,
-    /// Loads from the weight store that may begin in a second, over all engines.
+    /// Loads from the weight store that may begin per second, over all engines.
     pub loads_per_s: f64,
     /// Sorted by name.
     pub models: Vec<Model>,
@@ -118,31 +119,32 @@
     pub name: Box<str>,
     /// Size of its weights, in MB.
     pub weights_mb: f64,
-    /// Time of a load from the weight store.
+    /// Duration of a load from the weight store.
     pub from_store: Duration,
-    /// Time of a load from the engine's disk.
+    /// Duration of a load from the engine's disk.
     pub from_disk: Duration,
-    /// Time of a load from the engine's host memory.
+    /// Duration of a load from the engine's host memory.
     pub from_memory: Duration,
     /// Size of an adapter, in MB.
     pub adapter_mb: f64,
 }
 
-/// Bounds of what clients may send.
+/// Limits on what clients may send.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Limits {
-    /// Bytes of a request's head.
+    /// Size of a request's head, in bytes.
     pub head_bytes: usize,
-    /// Bytes of a request's body.
+    /// Size of a request's body, in bytes.
     pub body_bytes: usize,
     /// Time for a request's head to arrive.
     pub head_time: Duration,
-    /// Time that a connection may be idle.
+    /// Time for which a connection may be idle.
     pub idle_time: Duration,
 }
 
 impl Default for Limits {
-    /// In force until a catalogue is known; generous, since then everything is refused anyway.
+    /// Limits until a catalogue is known. They are generous, since all requests are refused until
+    /// then.
     fn default() -> Self {
         Self {
             head_bytes: 32 << 10,
@@ -154,7 +156,7 @@
 }
 
 impl Catalogue {
-    /// Puts routes and services in the order that lookups rely on.
+    /// Sorts routes, services and models; lookups rely on the order.
     pub fn sort(&mut self) {
         self.routes.sort_by(|a, b| {
             let by_prefix = || {
@@ -171,7 +173,7 @@
         }
     }
 
-    /// Finds the route with the longest prefix of `path` on `host`.
+    /// Finds the route on `host` with the longest prefix of `path`.
     pub fn route(&self, host: &str, path: &str) -> Option<&Route> {
         let first = self.routes.partition_point(|r| *r.host < *host);
         self.routes[first..]
@@ -180,7 +182,8 @@
             .find(|r| path.starts_with(&*r.prefix))
     }
 
-    /// The shortest objective of a route that may go to a service with requests of a lower rank than this.
+    /// The shortest objective of the routes to a service that may have requests of a rank below
+    /// `rank`; `None` if there are none.
     pub fn more_urgent_objective(&self, service: &str, rank: u8) -> Option<Duration> {
         let urgent = |r: &&Route| self.first_rank(r) < rank;
         let before = self.routes_to(service).filter(urgent);
@@ -199,7 +202,7 @@
         }
     }
 
-    /// The shortest pause between events that a route which may go to a service promises.
+    /// The shortest pause between events that a route to a service promises.
     pub fn shortest_pause(&self, service: &str) -> Option<Duration> {
         self.routes_to(service).filter_map(|r| r.gap).min()
     }
@@ -230,12 +233,12 @@
                 return &share.service;
             }
         }
-        // A sum of zero, or a point that was rounded up.
+        // The weights sum to zero, or `point` was rounded up.
         self.to.last().map_or("", |s| &s.service)
     }
 
-    /// The time after which clients leave a stream that has brought no event, as the users' own
-    /// clients do.
+    /// The time after which clients abandon a stream that has had no event. It follows the rule
+    /// that the users' own clients apply.
     pub fn client_timeout(&self) -> Duration {
         let gap = self.gap.unwrap_or_default();
         MIN_CLIENT_TIMEOUT
@@ -250,7 +253,7 @@
 }
 
 impl Model {
-    /// Time of a load from where its copy lies.
+    /// Duration of a load from this location.
     pub fn load_time(&self, from: CopyLocation) -> Duration {
         match from {
             CopyLocation::Memory => self.from_memory,
--- a/crates/stair-fleet/src/choose.rs
+++ b/crates/stair-fleet/src/choose.rs
@@ -1,8 +1,8 @@
 //! Chooses the target for a request among those that can run it now.
 //!
-//! Load: several replicas of a busy model, each with its own prefix cache, and reports that lag. The shortest estimated
-//! time to the first event wins; requests with a common prefix prefer one replica by rendezvous hashing, as far as the
-//! cached prefix saves more time than its queue costs.
+//! The target with the shortest estimated time to the first event wins. A busy model has several
+//! replicas, each with its own prefix cache: requests with a common prefix prefer one replica,
+//! chosen by rendezvous hashing, unless its queue costs more time than the cached prefix saves.
 
 use std::time::Duration;
 
@@ -16,7 +16,7 @@
     }, //
 };
 
-/// Prefill rate for estimates, in prompt tokens a millisecond.
+/// Prefill rate for estimates, in prompt tokens per millisecond.
 const PREFILL_TOKENS_PER_MS: f64 = 36.0;
 
 /// Delay that a running request adds to another's first event, in milliseconds.
@@ -25,54 +25,58 @@
 /// Delay that a queued request adds, in milliseconds: half the prefill of a usual prompt.
 const QUEUED_MS: f64 = 120.0;
 
-/// Cost of an adapter that has to be fetched first, in milliseconds.
+/// Cost of an adapter that has to be loaded first, in milliseconds.
 const ADAPTER_MS: f64 = 30.0;
 
-/// Cost of an adapter where all places are in use, in milliseconds: the rest of a usual stream.
+/// Cost of an adapter when all adapter slots are in use, in milliseconds: the rest of a usual
+/// stream.
 const NO_ADAPTER_SLOT_MS: f64 = 900.0;
 
-/// Cost of another data centre, in milliseconds.
+/// Cost of a target in another data centre, in milliseconds.
 const DISTANCE_MS: f64 = 3.0;
 
-/// Cost of a target that fails every attempt, in milliseconds. Finite, so that it is tried when there is no other.
+/// Cost of a target that fails every attempt, in milliseconds. It is finite, so that the target is
+/// tried when there is no other.
 const FAILURE_MS: f64 = 2000.0;
 
-/// Estimates that differ by less count as equal, in milliseconds, so that distant targets are chosen as well.
+/// Estimates that differ by less count as equal, in milliseconds, so that more distant targets are
+/// chosen as well.
 const TIE_BREAK_MS: f64 = 6.0;
 
-/// What is to be placed.
+/// The request that needs a target.
 #[derive(Debug, Clone, Copy)]
 pub struct Options<'a> {
     /// The service.
     pub service: &'a str,
     /// The model, if the service runs models.
     pub model: Option<&'a str>,
-    /// The adapter, if one is asked for.
+    /// The adapter, if one is requested.
     pub adapter: Option<&'a str>,
     /// Tokens of the prompt.
     pub tokens: u64,
-    /// Tokens of the prompt's head that other requests share, and its hash.
+    /// Tokens and hash of the prompt's prefix that other requests share.
     pub shared: Option<(u64, u64)>,
     /// The entry's data centre.
     pub data_centre: &'a str,
     /// Targets that were tried before.
     pub tried: &'a [TargetKey],
-    /// Differs between requests, so that entries which see equal targets do not all take the first.
+    /// Differs between requests, so that entries with equal estimates do not all choose the same
+    /// target.
     pub salt: u64,
-    /// Whether targets that are under suspicion count too, when no other is left.
+    /// Whether suspect targets count too; for requests that have no other target left.
     pub suspects: bool,
 }
 
-/// The target that was chosen, with the time until its first event that decided.
+/// The chosen target and its estimate.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Outcome {
     /// The target.
     pub key: TargetKey,
-    /// The estimate, in milliseconds.
+    /// Estimated time to the first event, in milliseconds.
     pub wait_ms: f64,
 }
 
-/// Chooses among the targets that are open and, where a model is asked for, hold it.
+/// Chooses among the targets that accept requests and have the model, if one is requested.
 pub fn choose(view: &View, opts: &Options<'_>, now: Duration) -> Option<Outcome> {
     let can_serve = |s: &TargetState| {
         s.accepts(opts.suspects, now) && opts.model.is_none_or(|m| s.can_run(m, now))
@@ -91,7 +95,7 @@
         .min_by(|a, b| a.wait_ms.total_cmp(&b.wait_ms))
 }
 
-/// The replica that keeps the shared head of the prompt, by agreement.
+/// The replica that caches the shared prefix. All entries compute the same one.
 fn affinity_target(
     candidates: &[(TargetKey, &TargetState)],
     opts: &Options<'_>,
@@ -110,7 +114,7 @@
         ms += DISTANCE_MS;
     }
     let Some(model) = opts.model else {
-        // A plain service: how far this entry's own requests fill it.
+        // A plain service: the estimate depends on how many slots this entry's own requests use.
         let slots = f64::from(s.target.slots.max(1));
         return ms
             + 20.0 * f64::from(s.in_flight) / slots
@@ -126,7 +130,7 @@
         ms +=
             f64::from(report.load.running) * RUNNING_MS + f64::from(report.load.queued) * QUEUED_MS;
     } else {
-        // The agent is silent: what this entry has sent itself is all that is known.
+        // The agent is silent: only this entry's own requests are known.
         ms += s.unread_tokens as f64 / PREFILL_TOKENS_PER_MS;
         ms += f64::from(s.in_flight) * RUNNING_MS;
     }
@@ -137,7 +141,7 @@
     };
     if opts.adapter.is_some_and(|a| !has(a)) {
         ms += ADAPTER_MS;
-        // An engine takes no order for an adapter while a model comes or goes.
+        // An engine takes no orders for adapters while it loads or unloads a model.
         let loading = s.fresh_report(now).and_then(|r| r.load.loading.as_ref());
         ms += loading.map_or(0.0, |l| l.remaining.as_secs_f64() * 1000.0);
         if s.fresh_report(now)
--- a/crates/stair-fleet/src/cold_start.rs
+++ b/crates/stair-fleet/src/cold_start.rs
@@ -1,8 +1,9 @@
 //! Chooses the engine that loads a model, and the models that are evicted for it.
 //!
-//! Load: many rarely used models, of which an engine holds two or three, with copies of others in host memory and on
-//! disk. The cost of a place is the time until the model can run plus the eviction cost. Entries break ties by hash, so
-//! that they mostly agree and the agent loads once.
+//! There are many rarely used models, of which an engine has two or three loaded, with copies of
+//! others in host memory and on disk. The cost of a placement is the time until the model can run
+//! plus the eviction cost. Entries break ties by hash, so that they mostly agree and the agent
+//! loads once.
 
 use std::{
     cell::LazyCell,
@@ -29,32 +30,34 @@
     },
 };
 
-/// Time until an engine that unloads a model takes its next order: the model's streams end first.
+/// Time until an engine that unloads a model takes its next order; the model's streams end first.
 pub const UNLOAD_DURATION: Duration = Duration::from_millis(3000);
 
 /// Average remaining time of a stream in flight, in milliseconds.
 const STREAM_REMAINING_MS: f64 = 700.0;
 
-/// Part of an engine's time that one replica's prefill may take without stalling its streams.
+/// Fraction of an engine's time that one replica's prefill may take without stalling its streams.
 pub const REPLICA_PREFILL_FRACTION: f64 = 0.28;
 
-/// Eviction cost of the last replica of a model without demand, in milliseconds: its next request waits for a swap.
+/// Eviction cost of the last replica of a model without demand, in milliseconds: its next request
+/// waits for a swap.
 const LAST_REPLICA_MS: f64 = 60.0;
 
-/// Added to it for each request a second.
+/// Added to that cost for each request per second.
 const LAST_REPLICA_MS_PER_RATE: f64 = 600.0;
 
-/// Eviction cost of a replica for each whole engine by which the others are overloaded then, in milliseconds.
+/// Eviction cost of a replica for each whole engine by which the remaining replicas become
+/// overloaded, in milliseconds.
 const OVERLOAD_MS: f64 = 1800.0;
 
-/// Eviction cost of a replica that can be spared, in milliseconds.
+/// Eviction cost of a redundant replica, in milliseconds.
 const REDUNDANT_REPLICA_MS: f64 = 20.0;
 
-/// Cost of a load for each second and each request a second for adapters there, in milliseconds: an engine that
-/// loads takes no adapter orders.
+/// Cost of a load for each second and each request per second for adapters at the engine, in
+/// milliseconds: an engine that loads takes no orders for adapters.
 const ADAPTER_DELAY_MS: f64 = 60.0;
 
-/// Part of an engine's weights memory that adapters need.
+/// Memory for weights that is reserved for adapters, in MB.
 pub fn adapters_mb(engine: &Engine) -> f64 {
     let largest = engine
         .models
@@ -67,15 +70,15 @@
 /// Why a model cannot be loaded now.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Error {
-    /// It has to come from the weight store, and as many loads as make sense are under way.
+    /// It has to come from the weight store, and the limit of concurrent loads is reached.
     StoreBusy,
-    /// The entry has just started and has not heard of every engine's copies.
+    /// The entry has just started and has no reports of some engines' copies.
     MissingReports,
-    /// No engine takes orders and has room.
+    /// No engine takes orders and has capacity.
     NoCapacity,
 }
 
-/// The text is part of log lines, so it does not follow the names of the variants.
+/// The texts are part of log lines and keep the former names of the variants.
 impl fmt::Display for Error {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
@@ -86,22 +89,23 @@
     }
 }
 
-/// Where a model is to be loaded.
+/// A placement of a model.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Outcome {
     /// The engine.
     pub key: TargetKey,
-    /// Where its copy lies.
+    /// The location of the engine's copy.
     pub from: CopyLocation,
-    /// Time until it can run, as far as can be told.
+    /// Estimated time until the model can run.
     pub ready_in: Duration,
-    /// What has to be unloaded first, the least missed first.
+    /// Models to be evicted first, the cheapest first.
     pub victims: Vec<Box<str>>,
-    /// What decided: time until ready plus what is missed, in milliseconds.
+    /// The cost that decided: time until ready plus eviction cost, in milliseconds.
     pub cost_ms: f64,
 }
 
-/// Chooses where to load `model`. Engines whose agent is silent take no orders and are left out.
+/// Chooses where to load `model`. Engines whose agents are silent take no orders and are left out,
+/// as are those in `tried`.
 ///
 /// # Errors
 ///
@@ -128,7 +132,7 @@
     })
 }
 
-/// As [`find`], without the reason.
+/// Same as [`find`], without the reason of a failure.
 pub fn choose(
     view: &View,
     service: &str,
@@ -141,8 +145,8 @@
     search.cheapest(search.candidates(tried))
 }
 
-/// One look for a place. What does not depend on the place is worked out once: requests that find no
-/// target each make such a look, at every engine.
+/// One search for a placement. Values that do not depend on the engine are computed once, because
+/// every request without a target starts a search over all engines.
 struct Search<'a> {
     view: &'a View,
     service: &'a str,
@@ -153,15 +157,16 @@
     now: Duration,
 }
 
-/// Requests a second for a model, and its replicas, those that are coming among them.
+/// Demand for a model, and its replicas, including those that are being loaded.
 #[derive(Debug, Clone, Copy, Default)]
 struct Demand {
     per_s: f64,
-    /// Part of one engine's time that reading their prompts takes.
+    /// Fraction of one engine's time that prefill of its prompts takes.
     prefill_fraction: f64,
     replicas: u32,
-    /// The replica that may be spared, with its lot: of several the one with the greatest. Two entries that
-    /// each took another one for spare at the same moment would leave none.
+    /// The one replica that may count as redundant, with its tie-break hash: the replica with the
+    /// greatest hash. If two entries evicted different replicas at the same moment, none would
+    /// remain.
     redundant: Option<(u64, TargetKey)>,
 }
 
@@ -217,7 +222,7 @@
         models.binary_search_by(|m| (*m.name).cmp(model))
     }
 
-    /// All places but those that were tried.
+    /// All placements except at the engines that were tried.
     fn candidates(&self, tried: &[TargetKey]) -> Vec<Outcome> {
         self.view
             .of(self.service)
@@ -226,7 +231,8 @@
             .collect()
     }
 
-    /// The cheapest place, one that needs the weight store only if a load from there may begin.
+    /// The cheapest placement. One that needs the weight store counts only if a load from there may
+    /// begin.
     fn cheapest(&self, candidates: Vec<Outcome>) -> Option<Outcome> {
         let (view, now) = (self.view, self.now);
         let store_free = LazyCell::new(|| {
@@ -242,7 +248,7 @@
             .filter(|o| is_local(o) || *store_free)
             .min_by(|a, b| {
                 let hash = |o: &Outcome| tie_break_hash(view.get(o.key), self.model);
-                // Whole tens of milliseconds, so that estimates that differ by little tie.
+                // Costs are compared in steps of 10 ms, so that similar estimates tie.
                 let steps = |o: &Outcome| (o.cost_ms / 10.0) as u64;
                 steps(a).cmp(&steps(b)).then_with(|| hash(a).cmp(&hash(b)))
             })
@@ -285,9 +291,9 @@
         })
     }
 
-    /// What a model costs when it makes way, in milliseconds that its requests wait longer.
+    /// Eviction cost of a model: the additional wait of its requests, in milliseconds.
     fn eviction_ms(&self, model: &str, key: TargetKey) -> f64 {
-        // What is no longer declared is not missed.
+        // A model that is not declared any more has no eviction cost by demand.
         let demand = self.index(model).map(|i| self.demands[i]);
         let demand = demand.unwrap_or_default();
         let is_redundant = demand
@@ -301,7 +307,8 @@
         REDUNDANT_REPLICA_MS + OVERLOAD_MS * over.max(0.0)
     }
 
-    /// Finds the models that make way for `needed` MB, the least missed first.
+    /// Finds the models to evict for `needed` MB, the cheapest first. `None` if the memory does not
+    /// suffice.
     fn victims_for<'s>(
         &self,
         needed: f64,
@@ -324,8 +331,9 @@
             })
             .collect();
         candidates.sort_by(|a, b| a.cost_ms().total_cmp(&b.cost_ms()));
-        // One large victim can be cheaper than two small ones, yet with two or three models an engine
-        // the order by cost alone is close enough; what turned out needless is dropped below.
+        // One large victim can be cheaper than two small ones, but with two or three models per
+        // engine the order by cost alone is close enough. Victims that turn out to be unnecessary
+        // are dropped below.
         let mut victims = Vec::new();
         for v in candidates {
             if free >= needed {
@@ -349,10 +357,10 @@
     }
 }
 
-/// Whether an engine has the only copy of a model that it does not hold.
+/// Whether an engine has the only copy of a model that it has not loaded.
 ///
-/// A load from the weight store takes the place of its least used copy. Were that the last one, the
-/// next request for its model would wait for the weight store.
+/// A load from the weight store evicts the engine's least used copy. If that were the last copy,
+/// the next request for its model would wait for the weight store.
 pub fn has_last_copy(view: &View, service: &str, s: &TargetState, now: Duration) -> bool {
     let inventory = s.inventory(now);
     let elsewhere = |name: &str| {
@@ -367,7 +375,7 @@
     idle.any(|name| !elsewhere(name))
 }
 
-/// A number that all entries agree on for a model at an engine.
+/// A hash of a model and an engine that is the same at all entries.
 fn tie_break_hash(s: &TargetState, model: &str) -> u64 {
     xxh3_64_with_seed(s.target.id.as_bytes(), xxh3_64(model.as_bytes()))
 }
@@ -376,9 +384,9 @@
     t.as_secs_f64() * 1000.0
 }
 
-/// The wait for the requests in flight at the models that make way, until the last of them has ended.
+/// Time until the requests in flight at the victims have ended.
 ///
-/// The expected maximum of `n` exponential times: their mean times the sum of 1/1 to 1/n.
+/// This is the expected maximum of `n` exponential times: their mean times the sum of 1/1 to 1/n.
 fn drain_time<'a, I>(victims: I, report: &Report) -> Duration
 where
     I: IntoIterator<Item = &'a str>,
@@ -389,7 +397,7 @@
     Duration::from_secs_f64(STREAM_REMAINING_MS / 1000.0 * longest)
 }
 
-/// What an engine's adapters cost while it loads, in milliseconds.
+/// Cost of a load for requests for adapters at the engine, in milliseconds.
 fn adapter_delay_ms(report: &Report, ready: Duration) -> f64 {
     let with_adapters = report
         .inventory
@@ -403,12 +411,12 @@
     ADAPTER_DELAY_MS * per_s * ready.as_secs_f64()
 }
 
-/// A model that makes way.
+/// A model that may be evicted.
 struct Victim<'a> {
     name: &'a str,
-    /// What its requests wait longer.
+    /// Additional wait of its requests, in milliseconds.
     eviction_ms: f64,
-    /// The wait until its requests in flight have ended.
+    /// Time until its requests in flight have ended, in milliseconds.
     drain_ms: f64,
 }
 
--- a/crates/stair-fleet/src/events.rs
+++ b/crates/stair-fleet/src/events.rs
@@ -1,22 +1,23 @@
-//! Whole events out of a stream's bytes.
+//! Splits the bytes of a stream into whole events.
 //!
-//! A target that crashes can break off in the middle of an event. If its bytes were passed on as
-//! they come, a client that reads on after a resume would see half an event joined with a whole
-//! one. So only whole events leave this buffer, and what is left when the stream breaks is dropped.
+//! A target that crashes can stop in the middle of an event. If its bytes were passed on as they
+//! arrive, a client that continues after a resume would read the start of one event joined with a
+//! whole one. Only whole events leave the buffer; the remainder of an interrupted stream is
+//! dropped.
 
 use bytes::{
     Bytes,
     BytesMut, //
 };
 
-/// Longest event accepted, in bytes; a few hundred are usual. A stream that never ends its event
-/// would fill the memory.
+/// Longest event accepted, in bytes; a few hundred are usual. Without a limit a stream that never
+/// ends its event would exhaust the memory.
 pub const MAX_EVENT_BYTES: usize = 1 << 20;
 
-/// One whole event with its ending blank line.
+/// A whole event, including the blank line that ends it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Event {
-    /// Its bytes as they came.
+    /// Its bytes, unchanged.
     pub bytes: Bytes,
     /// Its id, if it has one.
     pub id: Option<u64>,
@@ -27,7 +28,7 @@
 #[error("an event exceeds {MAX_EVENT_BYTES} bytes")]
 pub struct TooLong;
 
-/// Cuts bytes into events.
+/// Splits bytes into events.
 #[derive(Debug, Default)]
 pub struct Splitter {
     buf: BytesMut,
@@ -35,7 +36,7 @@
 }
 
 impl Splitter {
-    /// Adds bytes.
+    /// Appends bytes.
     ///
     /// # Errors
     ///
@@ -48,7 +49,7 @@
         Ok(())
     }
 
-    /// Takes the next whole event.
+    /// Removes the next whole event from the buffer.
     pub fn next_event(&mut self) -> Option<Event> {
         let end = self.find_end()?;
         self.searched = 0;
@@ -57,7 +58,7 @@
         Some(Event { bytes, id })
     }
 
-    /// Tells whether part of an event is waiting for its end.
+    /// Whether the buffer holds the start of an event.
     pub fn is_inside(&self) -> bool {
         !self.buf.is_empty()
     }
@@ -77,7 +78,7 @@
             }
             i += 1;
         }
-        // The last two bytes may begin the blank line.
+        // The last two bytes may be the start of the blank line.
         self.searched = buf.len().saturating_sub(2);
         None
     }
--- a/crates/stair-fleet/src/fetch.rs
+++ b/crates/stair-fleet/src/fetch.rs
@@ -1,8 +1,9 @@
 //! Limits concurrent loads from the weight store.
 //!
-//! Load: crashes, replacements or moving demand need many models from the weight store at once. Beyond an undeclared
-//! concurrency loads slow each other down, and the most urgent one comes late. The limit is derived from the reported
-//! durations of loads, so that an entry which has just started knows it as well.
+//! After crashes, replacements or changes of demand many models have to come from the weight store
+//! at once. Beyond an undeclared concurrency these loads slow each other down, and the most urgent
+//! one comes late. The limit is derived from the reported durations of loads, so that an entry that
+//! has just started knows it as well.
 
 use std::time::Duration;
 
@@ -18,28 +19,31 @@
     view::View, //
 };
 
-/// Concurrent loads until one has ended, if a load is as fast as an engine's link.
+/// Limit until a load has ended, if a declared load is as fast as an engine's link.
 const INITIAL_LIMIT_FAST_STORE: usize = 4;
 
-/// The same if it is slower: the weight store is the limit then, and others would share it.
+/// The same for slower loads: the weight store is then the bottleneck, and concurrent loads share
+/// it.
 const INITIAL_LIMIT_SLOW_STORE: usize = 1;
 
-/// Throughput of an engine's link, in MB a second.
+/// Throughput of an engine's link, in MB per second.
 const LINK_MB_PER_S: f64 = 10_000.0;
 
-/// Concurrent loads that are kept free for requests that wait for one.
+/// Loads below the limit that are reserved for requests that wait for one.
 const RESERVED_LOADS: usize = 1;
 
-/// Concurrency up to which loads that kept their declared time allow twice as many; beyond it, one more.
+/// Concurrency up to which loads that took their declared time double the limit; beyond it they
+/// raise it by one.
 const MAX_DOUBLED_LIMIT: usize = 2;
 
-/// Part of the declared time beyond which a load was slowed by others.
+/// Multiple of the declared time above which a load was slowed down by others.
 const SLOWDOWN_THRESHOLD: f32 = 1.15;
 
-/// Age up to which an entry waits for the reports of all engines before it loads from the weight store.
+/// Time since the start of an entry for which it waits for the reports of all engines before it
+/// loads from the weight store.
 const REPORTS_TIMEOUT: Duration = Duration::from_millis(2500);
 
-/// Loads that are of use at once, at least one.
+/// Limit of concurrent loads from the weight store, at least 1.
 pub fn concurrency_limit(view: &View, service: &str, engine: &Engine, now: Duration) -> usize {
     let concurrent = u32::try_from(in_progress(view, service, now)).unwrap_or(u32::MAX);
     let reports = || view.of(service).filter_map(|(_, s)| s.fresh_report(now));
@@ -56,7 +60,7 @@
         .chain(ended)
         .partition(|f| f.slowdown > SLOWDOWN_THRESHOLD);
     let full_speed = |f: &Fetched| (f.concurrent as f32 / f.slowdown).round().max(1.0) as usize;
-    // One that ran alone was not slowed by others, whatever it took.
+    // The duration of a load that ran alone was not caused by others.
     let slow = slow.iter().filter(|f| f.concurrent > 1).map(full_speed);
     let proven = fast
         .iter()
@@ -64,7 +68,7 @@
         .max()
         .unwrap_or(0);
     if let Some(n) = slow.min() {
-        // Too low where others joined after a load had begun, which its agent cannot know.
+        // `n` is too low when others joined after a load had begun, which its agent cannot know.
         return n.max(proven);
     }
     let more = match proven {
@@ -75,7 +79,7 @@
     more.max(initial_limit(engine))
 }
 
-/// Loads that may run at once without a request that waits for one of them to end, at least one.
+/// Limit of concurrent loads while a prefetch begins, at least 1.
 pub fn prefetch_limit(view: &View, service: &str, engine: &Engine, now: Duration) -> usize {
     let limit = concurrency_limit(view, service, engine, now);
     limit.saturating_sub(RESERVED_LOADS).max(1)
@@ -91,7 +95,7 @@
     }
 }
 
-/// Counts the loads that are under way.
+/// Counts the loads from the weight store that are in progress.
 pub fn in_progress(view: &View, service: &str, now: Duration) -> usize {
     view.of(service)
         .filter_map(|(_, s)| s.fresh_report(now)?.load.loading.as_ref())
@@ -99,10 +103,10 @@
         .count()
 }
 
-/// Whether an entry that has just started still lacks the report of an engine, or knows of none.
+/// Whether an entry that has just started has no report of some engine yet, or knows no engine.
 ///
-/// After a power cut agents report copies on disk a moment later. An entry that does not wait for them would keep
-/// the weight store busy with models that need not come from there.
+/// After a power cut agents report the copies on disk a moment later. An entry that does not wait
+/// for these reports would keep the weight store busy with models that need not come from there.
 pub fn has_missing_reports(view: &View, service: &str, now: Duration) -> bool {
     let mut available = view
         .of(service)
--- a/crates/stair-fleet/src/lag.rs
+++ b/crates/stair-fleet/src/lag.rs
@@ -1,7 +1,7 @@
 //! Finds entries whose replication state lags.
 //!
-//! Load: many entries that report their state about once a second. Reports differ by their age alone, so a report is
-//! compared on arrival with what others had reported some time before.
+//! Entries report their state about once a second, so two reports may differ by their age alone. A
+//! report is compared on arrival with what others had reported some time before.
 
 use std::{
     collections::VecDeque,
@@ -10,28 +10,29 @@
 
 use crate::msg::ReplicationState;
 
-/// Time after which an entry that receives its source has what another one has reported.
+/// Time after which an entry with a working source has the versions that another entry has
+/// reported.
 const REPLICATION_TIMEOUT: Duration = Duration::from_millis(900);
 
-/// How far the knowledge of all entries goes.
+/// The newest versions that any entry has reported.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 struct Versions {
     catalogue: u64,
     targets: u64,
 }
 
-/// What entries have said of their knowledge, lately and before.
+/// The versions that entries have reported recently and those that every entry should have by now.
 #[derive(Debug, Clone, Default)]
 pub struct Lag {
-    /// Due everywhere.
+    /// Versions that every entry should have.
     expected: Versions,
     newest: Versions,
-    /// Each rise of the newest that is not due yet, the oldest first.
+    /// Increases of `newest` that are not expected of every entry yet, the oldest first.
     rises: VecDeque<(Duration, Versions)>,
 }
 
 impl Lag {
-    /// Takes in the word of an entry, and tells whether that entry lags.
+    /// Records a report, and returns whether the entry that sent it lags.
     pub fn observe(&mut self, known: &ReplicationState, now: Duration) -> bool {
         while let Some((_, newest)) = self
             .rises
--- a/crates/stair-fleet/src/lib.rs
+++ b/crates/stair-fleet/src/lib.rs
@@ -1,27 +1,28 @@
-//! Serving in front of a fleet of targets that announce themselves.
+//! Routing, placement and admission decisions of an entry in front of a fleet of targets.
 //!
-//! Pure state and decisions: no input or output, no clock, no threads. Time is passed in as a
-//! [`Duration`](std::time::Duration) since the start of the process.
+//! This crate holds state and decisions only: no input or output, no clock, no threads. Time is
+//! passed in as a [`Duration`](std::time::Duration) since the start of the process.
 //!
-//! - [`quota`]: what is left of a workspace's allowance.
-//! - [`catalogue`]: routes, services and models that operators declare, and the choice of a route.
-//! - [`workspace`]: who a request is for, and what its workspace may ask for.
-//! - [`target`]: what a target announces, and what its agent reports of it.
-//! - [`view`]: all that one entry knows of the targets, with the age of each part.
-//! - [`target_state`]: one target as an entry knows it.
-//! - [`choose`]: the target for a request among those that can run it now.
-//! - [`cold_start`]: the target that loads a model, and what makes room for it there.
-//! - [`overload`]: what to do with a request whose best target is slow.
-//! - [`prefetch`]: the next load to make before a request asks for it.
-//! - [`balance`]: which model gets a further replica, and whose replicas make way for it.
-//! - [`fetch`]: how many loads from the weight store are of use at once.
-//! - [`prefill`]: when a prompt may be sent to an engine.
-//! - [`outlier`]: which targets a failure is put down to.
-//! - [`quarantine`]: which request ends the targets that run it.
-//! - [`budget`]: one entry's share of the retries that all entries may make together.
-//! - [`events`]: whole events out of a stream's bytes.
-//! - [`lag`]: which entries lag behind what the others know.
-//! - [`msg`]: what entries and agents tell each other about engines.
+//! - [`catalogue`]: declared routes, services and models, and the choice of a route.
+//! - [`workspace`]: workspaces, their keys and their quotas.
+//! - [`quota`]: token buckets for the quotas of workspaces.
+//! - [`target`]: what a target announces and what its agent reports.
+//! - [`target_state`]: what an entry knows of one target.
+//! - [`view`]: what an entry knows of all targets.
+//! - [`choose`]: chooses a target among those that can run a request now.
+//! - [`cold_start`]: chooses the target that loads a model, and the models evicted there.
+//! - [`overload`]: decides whether a request for a slow target is sent, waits for a load or is
+//!   refused.
+//! - [`prefetch`]: chooses loads before requests wait for them.
+//! - [`balance`]: chooses a model that gets a further replica, and the replicas evicted for it.
+//! - [`fetch`]: limits concurrent loads from the weight store.
+//! - [`prefill`]: schedules the prefill of prompts on one engine.
+//! - [`outlier`]: decides which targets a failure counts against.
+//! - [`quarantine`]: finds requests that crash the targets that run them.
+//! - [`budget`]: one entry's share of the retry budget.
+//! - [`events`]: splits the bytes of a stream into whole events.
+//! - [`lag`]: finds entries whose replication state lags.
+//! - [`msg`]: messages between entries and agents.
 #![deny(missing_docs)]
 #![forbid(unsafe_code)]
 
--- a/crates/stair-fleet/src/msg.rs
+++ b/crates/stair-fleet/src/msg.rs
@@ -1,7 +1,7 @@
-//! What entries and agents tell each other about engines.
+//! Messages between entries and agents about engines.
 //!
-//! The entry opens the connection. Each side sends one message a frame; the agent's first report
-//! answers the entry's hello.
+//! The entry opens the connection. Each message is one frame. The agent sends its first report in
+//! reply to the entry's [`ToAgent::Hello`].
 
 use std::{
     fmt,
@@ -27,79 +27,78 @@
     }, //
 };
 
-/// From an entry to an agent.
+/// Messages from an entry to an agent.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum ToAgent {
-    /// Who speaks, and how far its knowledge goes; sent first and when it changes.
+    /// The entry's name and replication state; sent first and on each change.
     Hello(ReplicationState),
-    /// The answer to [`ToEntry::DeclarationRequest`]: what the engine's service declares, with the version of the
-    /// catalogue that says so.
+    /// The reply to [`ToEntry::DeclarationRequest`]: the declaration of the engine's service.
     #[serde(rename = "Engine")]
     Declaration {
-        /// The catalogue's version.
+        /// The version of the catalogue that it is from.
         version: u64,
         /// The declaration.
         engine: Engine,
     },
-    /// The present life of the engine beside the agent, and the store's revision that says so.
+    /// The current incarnation of the engine beside the agent.
     #[serde(rename = "Instance")]
     Incarnation {
         /// The engine's id.
         id: Box<str>,
-        /// The store's revision.
+        /// The store's revision that it is from.
         revision: u64,
     },
-    /// A life that the engine has said it is not.
+    /// An incarnation that the engine has rejected as stale.
     #[serde(rename = "Former")]
     StaleIncarnation(Box<str>),
-    /// Asks for a model or an adapter.
+    /// Requests a model or an adapter.
     LoadRequest(LoadRequest),
-    /// Takes a [`LoadRequest`] back: nobody waits for it any more.
+    /// Cancels the [`LoadRequest`] with this `seq`: no request waits for it any more.
     Cancel(u64),
-    /// Asks for a prompt's prefill slot.
+    /// Requests the prefill slot of a prompt.
     Prefill {
-        /// Names the question on this connection.
+        /// Identifies the request on this connection.
         seq: u64,
         /// The prompt.
         #[serde(rename = "ask")]
         request: prefill::Request,
     },
-    /// What the entry has sent to the engine since it last said so.
+    /// Requests that the entry has sent to the engine since its last `Used`.
     Used(Vec<Used>),
-    /// How long the prompts took whose first events came since it last said so.
+    /// Measured prefill times of prompts whose first events arrived since the last `PrefillTimes`.
     #[serde(rename = "Read")]
     PrefillTimes(Vec<prefill::Measurement>),
-    /// Requests for a model were rejected since no engine could load it in time.
+    /// A request for this model was refused because no engine could load it in time.
     Unserved(Box<str>),
-    /// Asks for a part of a workspace's allowance.
+    /// Requests a charge to a workspace's quota.
     #[serde(rename = "Allow")]
     QuotaRequest {
-        /// Names the question on this connection.
+        /// Identifies the request on this connection.
         seq: u64,
         /// The request.
         #[serde(rename = "ask")]
         request: quota::Request,
     },
-    /// Gives back what a request has cost that was not run.
+    /// Refunds the cost of a request that was not run.
     #[serde(rename = "GiveBack")]
     QuotaRefund {
         /// The workspace.
         workspace: Box<str>,
-        /// The units.
+        /// The cost in units of the quota.
         cost: f64,
     },
-    /// About requests that end the targets that run them.
+    /// About requests that crash the targets that run them.
     Quarantine(ToLedger),
 }
 
-/// How far an entry's knowledge goes.
+/// The versions that an entry has of replicated data.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct ReplicationState {
     /// The entry's name.
     pub entry: Box<str>,
-    /// Its data centre.
+    /// The entry's data centre.
     pub data_centre: Box<str>,
-    /// Where it answers other entries that ask for its knowledge.
+    /// The address at which it replies to other entries.
     pub peer: std::net::SocketAddr,
     /// The version of its catalogue, 0 for none.
     pub catalogue: u64,
@@ -107,113 +106,117 @@
     pub targets: u64,
 }
 
-/// Asks for a model, or for an adapter of a model that is there.
+/// Requests a model, or an adapter of a loaded model.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LoadRequest {
-    /// Names the question on this connection.
+    /// Identifies the request on this connection.
     pub seq: u64,
     /// The model.
     pub model: Box<str>,
-    /// Its adapter, if one is asked for.
+    /// The adapter, if one is requested.
     pub adapter: Option<Box<str>>,
-    /// Models that may be unloaded to make room, the least missed first.
+    /// Models that may be evicted for it, the cheapest first.
     pub victims: Vec<Box<str>>,
-    /// How many loads run together with this one, itself among them, if it may come from the weight
-    /// store; `None` if it may not.
+    /// The number of concurrent loads from the weight store with this one, if it may come from
+    /// there; `None` if it may not.
     pub fetch: Option<u32>,
-    /// Whether no request waits for it yet; such a request gives way to all others.
+    /// Whether no request waits for it yet. Such a load yields to all others.
     pub prefetch: bool,
-    /// Time after which it is of no use.
+    /// Time after which the load is not needed any more.
     #[serde(rename = "of_use")]
     pub timeout: Duration,
 }
 
-/// Use of one model at one engine by one entry.
+/// One entry's use of one model at one engine.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Used {
     /// The model.
     pub model: Box<str>,
     /// Requests sent since the last message.
     pub sent: u32,
-    /// Requests in flight now.
+    /// Requests in flight.
     pub in_flight: u32,
 }
 
-/// From an agent to an entry.
+/// Messages from an agent to an entry.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum ToEntry {
-    /// What the engine holds; sent first and when it changes.
+    /// The engine's inventory; sent first and on each change.
     #[serde(rename = "Holds")]
     Inventory(Box<Inventory>),
-    /// The rest of what the agent knows of it; sent when it changes and as a heartbeat.
+    /// Everything else that the agent reports of the engine; sent on changes and as a heartbeat.
     Load(Box<Load>),
-    /// The answer to a [`LoadRequest`].
+    /// The reply to a [`LoadRequest`].
     #[serde(rename = "Done")]
     LoadReply {
-        /// The question.
+        /// The `seq` of the request.
         seq: u64,
-        /// What came of it.
+        /// The result.
         outcome: Outcome,
     },
-    /// The answer to a [`ToAgent::Prefill`].
+    /// The reply to [`ToAgent::Prefill`].
     Prefill {
-        /// The question.
+        /// The `seq` of the request.
         seq: u64,
-        /// What came of it.
+        /// The result.
         #[serde(rename = "answer")]
         reply: prefill::Reply,
     },
-    /// The answer to a [`ToAgent::QuotaRequest`].
+    /// The reply to [`ToAgent::QuotaRequest`].
     #[serde(rename = "Allowed")]
     QuotaReply {
-        /// The question.
+        /// The `seq` of the request.
         seq: u64,
-        /// What came of it.
+        /// The result.
         #[serde(rename = "answer")]
         reply: quota::Reply,
     },
-    /// The last life that the engine has said it is not; all entries stop using it at once. After a
-    /// power cut the store's list has the dead lives for some seconds, and each entry would find out
-    /// by requests of its own, a few of which use up its share of the retries.
+    /// The last incarnation that the engine has rejected as stale. All entries stop using it at
+    /// once: after a power cut the store's list has the stale incarnations for some seconds, and if
+    /// each entry detected them by requests of its own, a few of these would use up its share of
+    /// the retries.
     #[serde(rename = "Former")]
     StaleIncarnation(Box<str>),
-    /// What the entry needs to know of the others that this agent hears.
+    /// What the entry needs to know of the other entries connected to this agent.
     Peers(Box<Peers>),
-    /// Asks for what the engine's service declares. A declaration names every model; told by each entry to
-    /// each agent, those of one change would take more than all else that they say in a minute.
+    /// Requests the declaration of the engine's service. It is sent on request only: a declaration
+    /// names every model, and if each entry sent it to each agent, one change would take more
+    /// traffic than all other messages of a minute.
     #[serde(rename = "Declare")]
     DeclarationRequest,
-    /// About requests that end the targets that run them.
+    /// About requests that crash the targets that run them.
     Quarantine(ToWatchlist),
 }
 
-/// What one entry needs to know of the others. Not their whole list: it changes with each of them
-/// many times a second, and every agent would send it to every entry.
+/// What one entry, the receiver, needs to know of the other entries. Their whole list would be too
+/// much: it changes with each of them many times a second, and every agent would send it to every
+/// entry.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Peers {
-    /// The least name among all entries, the one told among them.
+    /// The least name among all entries, the receiver included.
     #[serde(rename = "least")]
     pub least_name: Box<str>,
-    /// Entries that the agent hears, the one told among them.
+    /// The number of entries connected to the agent, the receiver included.
     pub entries: u32,
-    /// The entry of the same data centre that watches the store for the others there: the one with the
-    /// least name, which may be the one told.
+    /// The entry that watches the store for the receiver's data centre: the one with the least name
+    /// there, possibly the receiver itself.
     pub watcher: Option<Peer>,
-    /// The others that are ahead of the one told, by catalogue or by targets; at most two.
+    /// Entries with a newer catalogue or list of targets than the receiver; at most two.
     pub newer: Vec<ReplicationState>,
 }
 
-/// An entry that other entries can ask.
+/// An entry that other entries can send requests to.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Peer {
     /// The entry's name.
     pub entry: Box<str>,
-    /// Where it answers other entries.
+    /// The address at which it replies to other entries.
     pub addr: std::net::SocketAddr,
 }
 
 impl Peers {
-    /// Picks what the entry `own` needs to know out of what all entries say; `all` has `own` too.
+    /// Computes what the entry `own` needs to know. `all` has the states of all entries, `own`
+    /// included.
     pub fn of(own: &ReplicationState, all: &[ReplicationState]) -> Self {
         let newest_catalogue = all
             .iter()
@@ -236,19 +239,20 @@
     }
 }
 
-/// All entries together, as far as each of them needs to know.
+/// The parts of [`Peers`] that are common to all entries.
 ///
-/// Worked out once for all of them: by each for itself it would take the square of their number.
+/// It is computed once for all of them: computed for each entry separately it would take time
+/// quadratic in their number.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct EntrySet {
     least: Option<Box<str>>,
     entries: u32,
-    /// The data centres with the entry that watches the store in each, sorted.
+    /// The data centres and the entry that watches the store in each, sorted.
     watchers: Vec<(Box<str>, Peer)>,
 }
 
 impl EntrySet {
-    /// Takes in what all entries say.
+    /// Computes it from the states of all entries.
     pub fn of(all: &[ReplicationState]) -> Self {
         let mut watchers: Vec<(Box<str>, Peer)> = Vec::new();
         for known in all {
@@ -269,7 +273,7 @@
         }
     }
 
-    /// What one of them needs to know, but for those ahead of it.
+    /// Returns what the entry `own` needs to know, without `newer`.
     pub fn peers(&self, own: &ReplicationState) -> Peers {
         let near = |(dc, _): &(Box<str>, Peer)| dc.cmp(&own.data_centre);
         let watcher = self.watchers.binary_search_by(near).ok();
@@ -282,24 +286,24 @@
     }
 }
 
-/// What came of a [`LoadRequest`].
+/// The result of a [`LoadRequest`].
 #[derive(Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Outcome {
-    /// The model, and the adapter if one was asked for, can run now.
+    /// The model, and the adapter if one was requested, can run now.
     Ready,
-    /// There is no room: what could make room is in use.
+    /// Memory pressure: all models that could be evicted are in use.
     #[serde(rename = "NoRoom")]
     NoCapacity,
-    /// A load from the weight store would be needed and is not allowed now.
+    /// The load would have to come from the weight store, and may not now.
     StoreBusy,
-    /// The agent may not give orders now: it knows no declaration, fencing token or instance, or
-    /// the engine does not answer.
+    /// The agent may not send orders now: it has no declaration, fencing token or incarnation, or
+    /// the engine does not reply.
     NoControl,
     /// The engine refused or dropped the order.
     Failed,
 }
 
-/// The text is part of log lines, so it does not follow the names of the variants.
+/// The text is part of log lines and keeps the former name of `NoCapacity`.
 impl fmt::Debug for Outcome {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
--- a/crates/stair-fleet/src/overload.rs
+++ b/crates/stair-fleet/src/overload.rs
@@ -1,8 +1,9 @@
-//! What to do with a request whose best target is slow: send it, load a further replica, refuse it.
+//! Decides what to do with a request whose best target is slow: send it, load a further replica, or
+//! refuse it.
 //!
-//! The load it answers: a fleet that comes back empty, or a model whose demand rises faster than its
-//! replicas. All requests would queue at the one replica that is there and most would time out,
-//! while a copy on another engine could run them within a second.
+//! When a fleet restarts empty, or the demand for a model rises faster than its replicas, all
+//! requests would queue at the one replica and most would time out, while a copy on another engine
+//! could run them within a second.
 
 use std::time::Duration;
 
@@ -11,37 +12,39 @@
     cold_start, //
 };
 
-/// Part of the objective up to which a target is fast enough.
+/// Fraction of the objective up to which a target is fast enough.
 const FAST_FRACTION: f64 = 0.5;
 
 /// Cost up to which a further replica is loaded for a slow target, in milliseconds.
 const MAX_REPLICA_COST_MS: f64 = 2500.0;
 
-/// A request waits for a replica instead of a target if that saves this part of the wait.
+/// Fraction of the wait that a load has to save for a request to wait for it.
 const MIN_SAVED_FRACTION: f64 = 0.3;
 
-/// Part of the remaining time beyond which the wait at a target is hopeless. Above one, as the estimate is rough.
+/// Fraction of the remaining time beyond which the wait at a target is too long. Above 1, as the
+/// estimate is rough.
 const REFUSAL_FRACTION: f64 = 1.2;
 
-/// What to do.
+/// What to do with the request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Decision {
     /// Send it to the target.
     Send,
-    /// Send it, and have a further replica loaded for those that follow.
+    /// Send it, and load a further replica for the requests that follow.
     SendAndLoad,
-    /// Have a replica loaded and wait for it.
+    /// Load a replica and wait for it.
     Load,
-    /// Nothing can run it in time.
+    /// Refuse it: nothing can run it in time.
     Refuse,
 }
 
-/// Whether a target is fast enough, so that no other place has to be looked for.
+/// Whether a target is fast enough, so that no placement for a load has to be searched.
 pub fn is_fast(best: &choose::Outcome, objective: Duration) -> bool {
     best.wait_ms <= FAST_FRACTION * objective.as_secs_f64() * 1000.0
 }
 
-/// Decides by the best target and the best place to load a replica, each if there is one.
+/// Decides by the best target and the best placement of a replica, if they exist. `remaining` is
+/// the time until the request's deadline.
 pub fn decide(
     best: Option<&choose::Outcome>,
     placement: Option<&cold_start::Outcome>,
--- a/crates/stair-fleet/src/prefetch.rs
+++ b/crates/stair-fleet/src/prefetch.rs
@@ -1,8 +1,8 @@
-//! Which models get a copy or a further replica before a request has to wait for it.
+//! Chooses models that get a copy or a further replica before a request has to wait for it.
 //!
-//! The load it answers: demand that moves to other models within seconds while a load from the
-//! weight store takes longer than most requests wait. One entry at a time, the one with the least
-//! name, makes these loads; two of them for a while cost a needless load, nothing else.
+//! Demand moves to other models within seconds, while a load from the weight store takes longer
+//! than most requests wait. One entry at a time, the one with the least name, makes these loads. If
+//! two entries do so for a while, the cost is an unnecessary load and nothing else.
 
 use std::time::Duration;
 
@@ -21,13 +21,14 @@
     },
 };
 
-/// Concurrent prefetches from the weight store for models with hardly any demand. Busy models would wait for them.
+/// Concurrent prefetches from the weight store for models with hardly any demand. Busy models would
+/// have to wait for them.
 const MAX_RARE_PREFETCHES: usize = 1;
 
-/// Requests a second up to which an engine is idle.
+/// Requests per second up to which an engine counts as idle.
 const IDLE_PER_S: f32 = 0.5;
 
-/// A load that was asked for and need not have shown in a report yet.
+/// A load that was requested and may not appear in a report yet.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RequestedLoad {
     /// The engine.
@@ -41,16 +42,16 @@
 pub struct Outcome {
     /// The model.
     pub model: Box<str>,
-    /// Where it is to be loaded.
+    /// Its placement.
     pub place: cold_start::Outcome,
-    /// What it takes off the fleet's expected queue, where that decided; see [`balance`].
+    /// Reduction of the fleet's expected queue, if that decided; see [`balance`].
     pub gain: Option<f64>,
 }
 
-/// Chooses the next load that is worth making ahead of requests, if any.
+/// Chooses the next load that is worth making before requests need it, if any.
 ///
-/// Engines that have loads before them are left alone, as are those in `requested`: a load ahead of
-/// requests must not stand before one that a request waits for.
+/// Engines with requested loads are excluded, both those of reports and those of `requested`: a
+/// prefetch must not delay a load that a request waits for.
 pub fn next(
     view: &View,
     service: &str,
@@ -111,7 +112,7 @@
         })
     }
 
-    /// Whether an engine holds the model or is loading it.
+    /// Whether an engine has the model loaded, is loading it, or was requested to.
     fn has_or_loads(&self, key: TargetKey, s: &TargetState, model: &str) -> bool {
         let requested = self
             .requested
@@ -122,7 +123,7 @@
                 && (s.can_run(model, self.now) || s.is_loading(model, self.now)))
     }
 
-    /// A further replica of a model whose replicas are crowded.
+    /// A further replica of a model whose replicas are overloaded.
     fn overloaded(&self) -> Option<Outcome> {
         let opts = balance::Options {
             view: self.view,
@@ -142,7 +143,7 @@
         })
     }
 
-    /// Loads from the weight store that are under way or asked for.
+    /// Loads from the weight store that are in progress or requested.
     fn store_loads(&self) -> usize {
         let reported = |a: &&RequestedLoad| !self.view.get(a.key).is_loading(&a.model, self.now);
         let from_store = |a: &&RequestedLoad| {
@@ -157,7 +158,7 @@
         fetch::has_missing_reports(self.view, self.service, self.now)
     }
 
-    /// Engines that hold the model or have a copy of it.
+    /// Number of engines that have the model loaded, are loading it or have a copy.
     fn copies(&self, model: &str) -> usize {
         let has_copy = |(key, s): &(TargetKey, &TargetState)| {
             let copy = s.inventory(self.now).copy(model) != CopyLocation::Store;
@@ -166,7 +167,8 @@
         self.view.of(self.service).filter(has_copy).count()
     }
 
-    /// The missing model with the most rejected requests. They come back to the same rejection until it is loaded.
+    /// The missing model with the most refused requests. Their clients return and are refused again
+    /// until it is loaded.
     fn unserved(&self) -> Option<Outcome> {
         let limit = fetch::concurrency_limit(self.view, self.service, self.engine, self.now);
         if self.store_loads() >= limit || self.has_missing_reports() {
@@ -178,7 +180,7 @@
         missing.find_map(|(model, _)| self.place(model))
     }
 
-    /// Rejected requests a second for each declared model that has any.
+    /// Refused requests per second for each declared model that has any.
     fn demands(&self) -> Vec<(&str, f32)> {
         let mut out: Vec<(&str, f32)> = Vec::new();
         let reports = self.view.of(self.service);
@@ -195,7 +197,7 @@
         out
     }
 
-    /// Whether no engine holds a model, nor has a copy of it, nor is expected back with one.
+    /// Whether no engine has the model or a copy of it, or is expected to return with one.
     fn is_missing(&self, model: &str) -> bool {
         let within = self.engine.model(model).map(|m| m.from_store);
         let within = within.unwrap_or_default();
@@ -212,8 +214,8 @@
         self.place(&model.name)
     }
 
-    /// A model that no engine holds while one has a copy of it and room to spare: it costs one
-    /// order now and saves its next request the wait.
+    /// A model that no engine has loaded, while one has a copy and free memory: a single order now
+    /// saves its next request the wait.
     fn unloaded_with_copy(&self) -> Option<Outcome> {
         self.engine.models.iter().find_map(|m| {
             let mut all = self.view.of(self.service);
@@ -226,9 +228,11 @@
         })
     }
 
-    /// A model with a single copy, for an engine with nothing to do and room to spare. Engines that
-    /// replace others come without copies and would stand idle; when demand moves to a model with
-    /// one copy, or its engine is lost, its requests wait for the weight store.
+    /// A model with a single copy, for an idle engine with free memory.
+    ///
+    /// Engines that replace others start without copies and would stay idle. When demand moves to a
+    /// model with one copy, or the engine with that copy fails, requests for it wait for the weight
+    /// store.
     fn single_copy(&self) -> Option<Outcome> {
         if self.store_loads() >= MAX_RARE_PREFETCHES || self.has_missing_reports() {
             return None;
--- a/crates/stair-fleet/src/prefill.rs
+++ b/crates/stair-fleet/src/prefill.rs
@@ -1,11 +1,12 @@
 //! Schedules the prefill of prompts on one engine.
 //!
-//! Load: an engine reads prompts between the tokens of its streams, and prompts in a row stall all of them. Only the
-//! engine's agent sees all prompts, so each prompt reserves a slot there before it is sent.
+//! An engine runs prefill between the tokens of its streams, so consecutive prompts stall all
+//! streams. Only the engine's agent sees all prompts; each prompt therefore reserves a prefill slot
+//! there before it is sent.
 //!
-//! Prompts are read in bursts that are shorter than the promised pause between events, with breaks in which each stream
-//! makes an event. A reservation is never returned, so no lost message can block a slot. The prefill rate is learned
-//! for each model at each engine.
+//! Prompts are read in bursts shorter than the promised pause between events. In the breaks between
+//! bursts each stream produces an event. A reservation is never returned, so a lost message can't
+//! block a slot. The prefill rate is estimated for each model at each engine.
 
 use std::{
     ops::RangeInclusive,
@@ -17,101 +18,104 @@
     Serialize, //
 };
 
-/// Prefill rate until samples have come, in prompt tokens a millisecond.
+/// Prefill rate until there are samples, in prompt tokens per millisecond.
 const INITIAL_RATE: f64 = 33.0;
 
-/// Bounds of a learned rate, in tokens a millisecond. Prompts admitted at a higher rate fill an engine with
-/// streams.
+/// Bounds of the estimated rate, in tokens per millisecond. Above the upper bound too many prompts
+/// are admitted, and the engine fills with streams.
 const RATE_BOUNDS: RangeInclusive<f64> = 10.0..=60.0;
 
-/// Bounds of one sample, as parts of the learned rate. A prompt in the cache that the agent does not know of reads
-/// in no time; a lost packet makes one look slow.
+/// Bounds of one sample, as multiples of the estimated rate. A prompt that is cached without the
+/// agent's knowledge takes no prefill time; a lost packet makes prefill look slow.
 const SAMPLE_BOUNDS: RangeInclusive<f64> = 0.5..=1.2;
 
 /// Weight of the newest sample in the rate.
 const SAMPLE_WEIGHT: f64 = 0.15;
 
-/// Least prefill time of a sample: below it the time to the first event varies by other causes.
+/// Least prefill time of a sample. Below it, other causes dominate the time to the first event.
 const MIN_SAMPLE_TIME: Duration = Duration::from_millis(75);
 
-/// Part by which the least time beside prefill grows with each prompt, so that lasting load shows.
+/// Fraction by which the base latency grows with each prompt, so that it follows lasting load.
 const BASE_LATENCY_DRIFT: f64 = 0.001;
 
-/// Part of an engine's time that prefill may take in the long run. The rest is for the tokens of streams, so that
-/// they end.
+/// Fraction of an engine's time for prefill in the long run. The rest is for the tokens of streams,
+/// so that streams end.
 const PREFILL_FRACTION: f64 = 0.82;
 
-/// Part of the promised pause between events that one burst may take. The rest is for the event after it.
+/// Fraction of the promised pause between events that one burst may take. The rest is for the event
+/// after it.
 const BURST_FRACTION: f64 = 0.7;
 
-/// The promised pause where no route declares one.
+/// The promised pause between events where no route declares one.
 const DEFAULT_PAUSE: Duration = Duration::from_millis(600);
 
 /// The least time between two bursts, in milliseconds.
 const MIN_BREAK_MS: f64 = 60.0;
 
-/// Time to load a model from a copy at another engine, with the time to make room.
+/// Time to load a model from a copy at another engine, evictions included.
 const SWAP_DURATION: Duration = Duration::from_millis(1000);
 
-/// Part of the engine's memory that the prefix cache is assumed to have.
+/// Fraction of the engine's memory that the prefix cache is assumed to use.
 const CACHE_FRACTION: f64 = 0.6;
 
 /// Cost of a prompt beside its tokens, in tokens.
 const PROMPT_OVERHEAD_TOKENS: f64 = 150.0;
 
-/// A prompt up to the end of one of its parts.
+/// A block of a prompt, identified together with everything before it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PrefixBlock {
-    /// Names everything from the beginning up to here, the model and adapter among it.
+    /// Hash of the prompt up to the end of this block, model and adapter included.
     pub chain: u64,
-    /// Tokens of this part.
+    /// Tokens of this block.
     pub tokens: u32,
 }
 
-/// A prompt that asks for its slot.
+/// Requests the prefill slot of a prompt.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Request {
     /// The model.
     pub model: Box<str>,
-    /// The parts of the prompt in order.
+    /// The prefix blocks of the prompt in order.
     #[serde(rename = "parts")]
     pub blocks: Vec<PrefixBlock>,
     /// Tokens of the whole prompt.
     pub tokens: u32,
-    /// The longest wait that is of use.
+    /// The longest wait for the slot.
     #[serde(rename = "limit")]
     pub max_wait: Duration,
-    /// The longest wait that a more urgent prompt right after it could bear, if there are any.
+    /// The longest wait that a more urgent prompt right after this one accepts, if there are more
+    /// urgent requests.
     #[serde(rename = "spare")]
     pub urgent_max_wait: Option<Duration>,
     /// The shortest pause between events that clients of the engine's streams are promised.
     pub pause: Option<Duration>,
-    /// Whether the request has not asked for a slot before.
+    /// Whether this is the first request for a slot for the prompt.
     pub first: bool,
 }
 
-/// What came of it.
+/// The reply to a [`Request`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Reply {
-    /// Whether the slot is booked; else the wait would be longer than is of use.
+    /// Whether the slot is reserved; otherwise the wait would be too long.
     #[serde(rename = "booked")]
     pub reserved: bool,
-    /// The wait until the slot.
+    /// Time until the slot.
     pub wait: Duration,
-    /// Time for which the engine has prompts to read, this one among them if it is booked.
+    /// Time for which the engine has prompts to prefill, this one included if its slot is reserved.
     pub backlog: Duration,
-    /// Tokens of the prompt that the engine is taken to have kept.
+    /// Tokens of the prompt that are assumed to be in the engine's prefix cache.
     #[serde(rename = "kept")]
     pub cached: u32,
-    /// Time that the engine takes at its full rate from the slot on until the prompt is read, with the
-    /// prompts before it.
+    /// Time from the slot until the prompt is read at the engine's full rate, including the prompts
+    /// before it in the burst.
     #[serde(rename = "reads")]
     pub prefill_time: Duration,
 }
 
 impl Reply {
-    /// No slot, as the prompt's model makes way. The wait is longer than is of use, so that the prompt goes
-    /// elsewhere, and short enough to tell a client when to come back: by then another engine has it.
+    /// Refuses a slot because the prompt's model is being evicted. The wait exceeds `max_wait`, so
+    /// that the prompt goes to another engine, and is short enough for a client to return by:
+    /// another engine has the model by then.
     pub fn model_draining(req: &Request) -> Self {
         Self {
             reserved: false,
@@ -123,19 +127,19 @@
     }
 }
 
-/// How long an engine took over a prompt whose slot had come.
+/// The measured prefill of a prompt, from its slot on.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Measurement {
     /// The model.
     pub model: Box<str>,
-    /// What the [`Reply`] said that it would take to be read.
+    /// The prefill time that the [`Reply`] stated.
     #[serde(rename = "reads")]
     pub prefill_time: Duration,
-    /// From sending the request to its first event.
+    /// Time from sending the request to its first event.
     pub took: Duration,
 }
 
-/// A part that the engine has read.
+/// A prefix block that the engine has read.
 struct CachedBlock {
     chain: u64,
     tokens: u32,
@@ -143,14 +147,14 @@
     used: Duration,
 }
 
-/// What is known of one model's prompts at an engine.
+/// The estimated prefill rate of a model at an engine.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct Rate {
     /// The model.
     pub model: Box<str>,
-    /// Tokens that are read in a millisecond.
+    /// Prompt tokens per millisecond.
     pub tokens_per_ms: f64,
-    /// Time to the first event beside reading, in milliseconds, the least seen.
+    /// Base latency: the least time to the first event beside prefill, in milliseconds.
     first_ms: f64,
 }
 
@@ -166,7 +170,8 @@
 }
 
 impl Schedule {
-    /// Forgets all prompts: the engine has begun a new life. Its hardware is the same.
+    /// Forgets all prompts, as a new incarnation of the engine has none. The rates stay, since the
+    /// hardware is the same.
     pub fn clear(&mut self) {
         *self = Self {
             rates: std::mem::take(&mut self.rates),
@@ -174,7 +179,7 @@
         };
     }
 
-    /// Takes in how long the engine took to read a prompt and those before it.
+    /// Updates the rate by a measured prefill.
     pub fn record(&mut self, measured: &Measurement) {
         let took = ms(measured.took);
         let rate = self.rate_of(&measured.model);
@@ -183,8 +188,8 @@
             return;
         }
         let reading = took - rate.first_ms;
-        // Where all prompts take alike, what is beside reading cannot be told from it; but the engine was no
-        // slower than if it had read all the time.
+        // When all prompts take the same time, prefill can't be told from the base latency. The
+        // engine was still no slower than if all of the time was prefill.
         let min_rate = ms(measured.prefill_time) / took;
         let sample = if reading > 0.0 {
             min_rate.max(ms(measured.prefill_time) / reading)
@@ -198,13 +203,13 @@
         rate.tokens_per_ms = updated.clamp(*RATE_BOUNDS.start(), *RATE_BOUNDS.end());
     }
 
-    /// Tokens of a model's prompts that the engine reads in a millisecond.
+    /// The estimated prefill rate of a model, in tokens per millisecond.
     pub fn rate(&self, model: &str) -> f64 {
         let found = self.rates.binary_search_by(|r| (*r.model).cmp(model));
         found.map_or(INITIAL_RATE, |i| self.rates[i].tokens_per_ms)
     }
 
-    /// What has been learned, by model.
+    /// The estimated rates, sorted by model.
     pub fn rates(&self) -> &[Rate] {
         &self.rates
     }
@@ -225,25 +230,27 @@
         &mut self.rates[i]
     }
 
-    /// Forgets what was kept for a model: the engine has unloaded it.
+    /// Forgets the cached blocks of a model that the engine has unloaded.
     pub fn unloaded(&mut self, model: &str) {
         self.cached_blocks.retain(|b| *b.model != *model);
         self.recount();
     }
 
-    /// Time for which the engine has prompts to read.
+    /// Time for which the engine has prompts to prefill.
     pub fn backlog(&self, now: Duration) -> Duration {
         duration(self.last.until - ms(now))
     }
 
-    /// Gives a prompt its slot, if the wait is of use. `memory` is the engine's, in tokens.
+    /// Reserves the slot of a prompt unless the wait is too long. `memory` is the engine's capacity
+    /// in tokens.
     pub fn reserve(&mut self, req: &Request, memory: u64, now: Duration) -> Reply {
         let cached = self.cached_prefix(req);
         let cost = ms(self.prefill_time(req, cached));
         let burst = self.burst_for(cost, req.pause.unwrap_or(DEFAULT_PAUSE), now);
         let sent = burst.from.max(ms(now));
         let wait = duration(sent - ms(now));
-        // One that would keep a more urgent one from its slot waits until nothing is before it.
+        // A less urgent prompt that would delay an urgent one too long waits until the engine has
+        // no backlog.
         let next = duration(burst.until + burst.rest() - ms(now));
         let delays_urgent =
             req.urgent_max_wait.is_some_and(|limit| next > limit) && !wait.is_zero();
@@ -261,15 +268,15 @@
         }
     }
 
-    /// The burst in which a prompt is read that takes so long, with it: the last one, if it has room or is
-    /// over, or the next.
+    /// The burst that a prompt of this cost belongs to, with the prompt: the last one if it is over
+    /// or has time left, else the next one.
     fn burst_for(&self, cost: f64, pause: Duration, now: Duration) -> Burst {
         let now = ms(now);
         let until = self.last.until.max(now) + cost;
         if until - self.last.from <= BURST_FRACTION * ms(pause) {
             return Burst { until, ..self.last };
         }
-        // A prompt longer than a burst is one by itself.
+        // A prompt longer than a burst forms a burst of its own.
         let from = (self.last.until + self.last.rest()).max(now);
         Burst {
             from,
@@ -277,13 +284,14 @@
         }
     }
 
-    /// Time that reading a prompt takes, of which so many tokens are kept.
+    /// Prefill time of a prompt of which `cached` tokens are cached.
     pub fn prefill_time(&self, req: &Request, cached: u32) -> Duration {
         let tokens = f64::from(req.tokens.saturating_sub(cached)) + PROMPT_OVERHEAD_TOKENS;
         Duration::from_secs_f64(tokens / self.rate(&req.model) / 1000.0)
     }
 
-    /// A part is of use only if all before it are kept as well.
+    /// Tokens of the prompt in cached blocks. A cached block counts only if all blocks before it
+    /// are cached.
     fn cached_prefix(&self, req: &Request) -> u32 {
         let cached = |b: &&PrefixBlock| {
             self.cached_blocks
@@ -325,7 +333,7 @@
     }
 }
 
-/// Prompts that are read without a break. Times are in milliseconds since the process started.
+/// Consecutive prompts without a break. Times are in milliseconds since the start of the process.
 #[derive(Clone, Copy, Default)]
 struct Burst {
     from: f64,
@@ -333,7 +341,7 @@
 }
 
 impl Burst {
-    /// The time for streams after it: their part of its own.
+    /// The break after the burst, in which streams get their fraction of the engine's time.
     fn rest(&self) -> f64 {
         let read = self.until - self.from;
         if read <= 0.0 {
--- a/crates/stair-fleet/src/quarantine.rs
+++ b/crates/stair-fleet/src/quarantine.rs
@@ -1,17 +1,22 @@
-//! Decides which request ends the targets that run it.
+//! Finds requests that crash the targets that run them.
 //!
-//! Load: a request that crashes each target that begins to run it, and that its client sends again; ordinary requests
-//! on the same targets, which are sent again too; targets that crash by themselves, often many at once.
+//! Such a request crashes each target that begins to run it, and its client sends it again.
+//! Ordinary requests on the same targets are interrupted and sent again too, and targets also crash
+//! by themselves, often many at once.
 //!
-//! A [`Ledger`] blames the requests that were on a target when it ended, less where they had run for some time or
-//! where other targets ended with it. Blame adds up until the request survives a run.
+//! A [`Ledger`] blames the requests that were on a target when it crashed. A request gets less
+//! blame if it had run for some time or if other targets crashed at the same moment. Blame adds up
+//! until the request survives a run.
 //!
-//! At [`SUSPECT_BLAME`] a request is a suspect: it goes on trial, which is a run where no other suspect runs, and the
-//! next crash tells them apart. At [`QUARANTINE_BLAME`] it is not run for a while, if it was the most blamed on a target
-//! that ended during its trial. All crashes that it was on are then put down to it alone.
+//! At [`SUSPECT_BLAME`] a request becomes a suspect. It then runs on trial, that is on a target
+//! where no other suspect runs, so that the next crash tells the suspects apart. At
+//! [`QUARANTINE_BLAME`] it is quarantined if it was the most blamed one on a target that crashed
+//! during its trial. All crashes that it was on are then attributed to it alone.
 //!
-//! Invariants: no request is quarantined before its third crash, nor for crashes that it shared with other suspects
-//! alone; a request that survives a run owes nothing.
+//! # Invariants
+//!
+//! No request is quarantined before its third crash, nor for crashes that it only shared with other
+//! suspects. A request that survives a run has no blame.
 
 mod crashes;
 mod ledger;
@@ -32,55 +37,56 @@
 };
 pub use watchlist::Watchlist;
 
-/// Blame from which a request runs apart from other suspects: more than one crash brings.
+/// Blame from which a request runs apart from other suspects: more than one crash adds.
 pub const SUSPECT_BLAME: u32 = 3;
 
-/// Blame from which a request is not run: three crashes.
+/// Blame from which a request may be quarantined: three crashes.
 pub const QUARANTINE_BLAME: u32 = 6;
 
-/// Time from the first report of a crash until blame is given: all entries have reported by then.
+/// Time from the first report of a crash until its requests are judged; all entries have reported
+/// by then.
 pub const SETTLE_DELAY: Duration = Duration::from_millis(300);
 
-/// Time after which a request that runs has hardly to do with its target's end.
+/// Time after which a running request is unlikely to be the cause of its target's crash.
 pub const ESTABLISHED_DURATION: Duration = Duration::from_millis(500);
 
 /// Time for which blame is remembered.
 pub const BLAME_TTL: Duration = Duration::from_secs(600);
 
-/// How long a request is not run, the first time and after each crash of its next runs.
+/// Duration of a quarantine: the first one, and those after each crash of a later run.
 pub const QUARANTINE_DURATIONS: [Duration; 3] = [
     Duration::from_secs(60),
     Duration::from_secs(300),
     Duration::from_secs(3600),
 ];
 
-/// One target's end, as one entry has seen it.
+/// One entry's report of a target's crash.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Crash {
-    /// Names the life that has ended.
+    /// Identifies the incarnation that crashed.
     #[serde(rename = "life")]
     pub incarnation: Box<str>,
-    /// The entry's requests that were cut there.
+    /// The entry's requests that were interrupted there.
     pub runs: Vec<Run>,
 }
 
-/// One request that was cut.
+/// One interrupted request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Run {
     /// The request.
     pub fingerprint: Fingerprint,
-    /// Whether its answer had begun [`ESTABLISHED_DURATION`] before.
+    /// Whether its response had begun at least [`ESTABLISHED_DURATION`] before the crash.
     pub established: bool,
-    /// Whether that was a trial.
+    /// Whether the run was a trial.
     pub on_trial: bool,
 }
 
-/// What is known of a request.
+/// The standing of a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Standing {
-    /// It may end the targets that run it.
+    /// It may crash the targets that run it.
     Suspect,
-    /// It is not run for so long.
+    /// It is not run for this time.
     Quarantined(Duration),
     /// It has survived a run.
     Cleared,
@@ -91,42 +97,42 @@
 pub struct Notice {
     /// The request.
     pub fingerprint: Fingerprint,
-    /// What is known of it.
+    /// Its standing.
     pub standing: Standing,
 }
 
-/// From an entry to an agent that keeps a ledger.
+/// Messages from an entry to an agent that keeps a ledger.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum ToLedger {
-    /// A target has ended.
+    /// A target has crashed.
     Crashed(Crash),
     /// A request has survived a run.
     Survived(Fingerprint),
-    /// What the entry knows; sent first, if there is any.
+    /// All that the entry knows; sent first unless empty.
     Known(Vec<Notice>),
-    /// Asks whether a suspect may run at a target.
+    /// Requests a trial of a suspect at a target.
     Trial {
-        /// Names the question on this connection.
+        /// Identifies the request on this connection.
         seq: u64,
-        /// The request.
+        /// The suspect.
         fingerprint: Fingerprint,
         /// The target's id.
         target: Box<str>,
     },
-    /// The run of a suspect has ended.
+    /// The trial of a suspect has ended.
     TrialEnded(Fingerprint),
 }
 
-/// From such an agent to the entries.
+/// Messages from an agent that keeps a ledger to entries.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum ToWatchlist {
-    /// What is new; sent first with all that is known.
+    /// Changes of standing; sent first with all that is known.
     Known(Vec<Notice>),
-    /// The answer to a [`ToLedger::Trial`].
+    /// The reply to [`ToLedger::Trial`].
     Trial {
-        /// The question.
+        /// The `seq` of the request.
         seq: u64,
-        /// Whether it may run there now.
+        /// Whether the suspect may run there now.
         granted: bool,
     },
 }
--- a/crates/stair-fleet/src/quarantine/crashes.rs
+++ b/crates/stair-fleet/src/quarantine/crashes.rs
@@ -1,4 +1,4 @@
-//! The ends of targets of late, and the requests that were there.
+//! Recent crashes of targets, and the requests that were on them.
 
 use std::time::Duration;
 
@@ -13,19 +13,20 @@
 /// Blame for a crash.
 const FULL_BLAME: u32 = 2;
 
-/// Blame of a request that had run for some time, or for a crash that may have a cause in common with others.
+/// Blame of a request that had run for some time, or for a crash that may share its cause with
+/// others.
 const REDUCED_BLAME: u32 = 1;
 
-/// Time between the ends of targets up to which they may have a cause in common.
+/// Time between crashes of targets up to which they may share a cause.
 const COINCIDENCE_WINDOW: Duration = Duration::from_millis(50);
 
-/// Crashes that are kept at most.
+/// Limit of remembered crashes.
 const MAX_CRASHES: usize = 512;
 
-/// Requests that are kept of one crash.
+/// Limit of remembered requests of one crash.
 const MAX_RUNS: usize = 1024;
 
-/// Requests that are kept of all crashes together.
+/// Limit of remembered requests of all crashes together.
 const MAX_ALL_RUNS: usize = 16_384;
 
 /// The crashes, in the order of their first reports.
@@ -34,14 +35,14 @@
     list: Vec<CrashRecord>,
 }
 
-/// The end of one target.
+/// The crash of one target.
 #[derive(Debug, Clone)]
 pub(super) struct CrashRecord {
     incarnation: Box<str>,
     at: Duration,
     /// Sorted by request.
     runs: Vec<Run>,
-    /// The request that it is put down to.
+    /// The request that caused the crash, if known.
     attributed_to: Option<Fingerprint>,
     /// Whether there are requests that have not been judged.
     unjudged: bool,
@@ -56,7 +57,7 @@
         self.find(run).is_ok()
     }
 
-    /// Whether a request is blamed for more than all others that were there.
+    /// Whether a request has more blame than each other request that was on the target.
     pub(super) fn is_most_blamed<F>(&self, run: &Fingerprint, blame: F) -> bool
     where
         F: Fn(&Fingerprint) -> u32,
@@ -72,7 +73,7 @@
 }
 
 impl Crashes {
-    /// Takes in what an entry says of a target's end.
+    /// Records an entry's report of a crash.
     pub(super) fn report(&mut self, crash: &Crash, now: Duration) {
         self.expire(now);
         let known = self
@@ -93,7 +94,7 @@
         record.unjudged = true;
         for run in &crash.runs {
             match record.find(&run.fingerprint) {
-                // Sent twice, it has begun again.
+                // The request was sent twice, so its second run is a recent one.
                 Ok(i) => {
                     record.runs[i].established &= run.established;
                     record.runs[i].on_trial |= run.on_trial;
@@ -112,7 +113,7 @@
         }
     }
 
-    /// Takes the requests of the crashes that were first reported so long ago, and have not been judged since.
+    /// Takes the requests of the unjudged crashes whose first reports are at least `after` old.
     pub(super) fn take_unjudged(&mut self, after: Duration, now: Duration) -> Vec<Fingerprint> {
         let due = |e: &&mut CrashRecord| e.unjudged && now.saturating_sub(e.at) >= after;
         let mut runs = Vec::new();
@@ -125,13 +126,13 @@
         runs
     }
 
-    /// What the crashes say against a request.
+    /// The blame of a request by all crashes.
     pub(super) fn blame(&self, run: &Fingerprint) -> u32 {
         let on = self.list.iter().filter(|e| e.counts_for(run));
         on.map(|e| self.blame_for(e, run)).sum()
     }
 
-    /// The crashes during trials of a request that have no other cause in sight.
+    /// The crashes during trials of a request that have no other visible cause.
     pub(super) fn on_trial<'a>(
         &'a self,
         run: &'a Fingerprint,
@@ -149,7 +150,8 @@
         }
     }
 
-    /// Whether another target ended about then on which the request was not, nor any trial, which would explain it.
+    /// Whether another target crashed at about the same time on which neither the request nor any
+    /// trial ran. A trial there would explain that crash.
     fn coincides(&self, crash: &CrashRecord, run: &Fingerprint) -> bool {
         let near = |other: &&CrashRecord| other.at.abs_diff(crash.at) <= COINCIDENCE_WINDOW;
         let others = self.list.iter().filter(near);
@@ -157,7 +159,7 @@
         others.any(|other| !other.has(run) && !other.runs.iter().any(|r| r.on_trial))
     }
 
-    /// Puts the crashes that a request was on down to it.
+    /// Attributes the crashes that a request was on to it.
     pub(super) fn attribute_to(&mut self, run: &Fingerprint) {
         for crash in &mut self.list {
             if crash.attributed_to.is_none() && crash.has(run) {
@@ -166,7 +168,7 @@
         }
     }
 
-    /// Takes a request off all crashes: it has survived a run.
+    /// Takes a request off all crashes, because it has survived a run.
     pub(super) fn clear(&mut self, run: &Fingerprint) {
         for crash in &mut self.list {
             if let Ok(i) = crash.find(run) {
--- a/crates/stair-fleet/src/quarantine/ledger.rs
+++ b/crates/stair-fleet/src/quarantine/ledger.rs
@@ -1,4 +1,4 @@
-//! Judges the requests that were on targets when they ended.
+//! Judges the requests that were on crashed targets.
 
 use std::time::Duration;
 
@@ -18,13 +18,13 @@
     trials::Trials, //
 };
 
-/// Requests that are remembered at most; suspects make way, the oldest first.
+/// Limit of remembered requests. Suspects are evicted first, the oldest first.
 const MAX_RECORDS: usize = 4096;
 
-/// Blame that stays with a request that was quarantined: one more crash is enough.
+/// Blame that a request keeps after its quarantine, so that one more crash suffices.
 const RETAINED_BLAME: u32 = QUARANTINE_BLAME - 1;
 
-/// What one agent knows of the requests that were on targets when they ended.
+/// One agent's knowledge of the requests that were on crashed targets.
 #[derive(Debug, Clone, Default)]
 pub struct Ledger {
     /// Sorted by request.
@@ -33,32 +33,32 @@
     trials: Trials,
 }
 
-/// One request that is a suspect or quarantined.
+/// A request that is a suspect or quarantined.
 #[derive(Debug, Clone, Serialize)]
 pub struct Record {
     #[serde(serialize_with = "as_text")]
     fingerprint: Fingerprint,
-    /// Blame beyond that for the crashes that are known here.
+    /// Blame beyond that for the remembered crashes.
     #[serde(rename = "kept_blame")]
     retained_blame: u32,
-    /// When it was suspected last.
+    /// When it was last judged a suspect.
     at: Duration,
-    /// Until when it is not run.
+    /// End of the quarantine.
     #[serde(rename = "held_until")]
     quarantined_until: Option<Duration>,
-    /// How often it has been quarantined.
+    /// Number of quarantines so far.
     #[serde(rename = "holds")]
     quarantine_count: usize,
 }
 
 impl Ledger {
-    /// Takes in what an entry says of a target's end.
+    /// Records an entry's report of a target's crash.
     pub fn report(&mut self, crash: &Crash, now: Duration) {
         self.crashes.report(crash, now);
     }
 
-    /// Judges the requests of all crashes that every entry has had the time to report, and returns whose standing
-    /// has changed.
+    /// Judges the requests of all crashes that every entry has had the time to report. Returns the
+    /// changed standings.
     pub fn settle(&mut self, now: Duration) -> Vec<Notice> {
         self.records.retain(|r| r.is_current(now));
         let runs = self.crashes.take_unjudged(SETTLE_DELAY, now);
@@ -68,7 +68,8 @@
         quarantined
             .iter()
             .for_each(|run| self.crashes.attribute_to(run));
-        // The most blamed first: the crashes that it explains are not put down to others.
+        // The most blamed first: the crashes that are attributed to it do not count against the
+        // others.
         others.sort_by_cached_key(|run| std::cmp::Reverse(self.blame(run)));
         others
             .into_iter()
@@ -99,13 +100,14 @@
         Some(notice)
     }
 
-    /// All that speaks against a request.
+    /// The total blame of a request.
     fn blame(&self, run: &Fingerprint) -> u32 {
         let retained = self.find(run).map_or(0, |i| self.records[i].retained_blame);
         retained + self.crashes.blame(run)
     }
 
-    /// Whether a target ended during a trial of the request, and no other is blamed as much that was there.
+    /// Whether a target crashed during a trial of the request, and no other request there has as
+    /// much blame.
     fn is_convicted(&self, run: &Fingerprint) -> bool {
         let blame = |other: &Fingerprint| self.blame(other);
         self.crashes
@@ -113,7 +115,7 @@
             .any(|c| c.is_most_blamed(run, blame))
     }
 
-    /// Notes that a request has survived a run. Whether it was suspected.
+    /// Records that a request has survived a run. Returns whether it had a record.
     pub fn survived(&mut self, run: Fingerprint) -> bool {
         self.trials.survived(run);
         self.crashes.clear(&run);
@@ -121,7 +123,7 @@
         found.map(|i| self.records.remove(i)).is_ok()
     }
 
-    /// Takes in what another process knows, and returns it if it was not known here.
+    /// Applies what another process knows, and returns the notice if it was not known here.
     pub fn merge(&mut self, notice: &Notice, now: Duration) -> Option<Notice> {
         let known = self.find(&notice.fingerprint).is_ok();
         let was_quarantined = self.is_quarantined(&notice.fingerprint, now);
@@ -139,7 +141,8 @@
         (!was_quarantined).then_some(*notice)
     }
 
-    /// Begins a run of a suspect at a target for the entry of a link, unless another is in the way.
+    /// Begins a trial of a suspect at a target for the entry of connection `owner`. Returns false
+    /// if the request is quarantined or another trial prevents it.
     pub fn begin_trial(
         &mut self,
         run: Fingerprint,
@@ -150,23 +153,23 @@
         !self.is_quarantined(&run, now) && self.trials.begin(run, target, owner, now)
     }
 
-    /// Notes that such a run has ended.
+    /// Records that a trial has ended.
     pub fn end_trial(&mut self, run: Fingerprint, now: Duration) {
         self.trials.end(run, now);
     }
 
-    /// Notes that the entry of a link has gone.
+    /// Records that the entry of a connection has disconnected.
     pub fn owner_disconnected(&mut self, owner: u64, now: Duration) {
         self.trials.owner_disconnected(owner, now);
     }
 
-    /// The standing of all requests that have one.
+    /// The standings of all suspects and quarantined requests.
     pub fn notices(&self, now: Duration) -> Vec<Notice> {
         let lasting = self.records.iter().filter(|r| r.is_current(now));
         lasting.map(|r| r.notice(now)).collect()
     }
 
-    /// All suspects and quarantined requests.
+    /// The records of all suspects and quarantined requests.
     pub fn records(&self) -> &[Record] {
         &self.records
     }
@@ -180,7 +183,7 @@
         self.records.binary_search_by_key(run, |r| r.fingerprint)
     }
 
-    /// Finds the record of a request, or makes one.
+    /// Finds or creates the record of a request.
     fn record(&mut self, run: Fingerprint, now: Duration) -> usize {
         if let Ok(i) = self.find(&run) {
             return i;
--- a/crates/stair-fleet/src/quarantine/trials.rs
+++ b/crates/stair-fleet/src/quarantine/trials.rs
@@ -1,36 +1,37 @@
-//! Runs of suspects: one of each request at a time, and one at each target.
+//! Trials of suspects: one of each request at a time, and one at each target.
 
 use std::time::Duration;
 
 use stair_types::Fingerprint;
 
-/// Time after which a run is taken to have ended: longer than clients wait.
+/// Time after which a trial counts as ended; longer than clients wait.
 const TRIAL_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Time after a run's end in which the same request waits, for a crash to be reported and judged.
+/// Time after a trial's end during which the same request waits, so that a crash can be reported
+/// and judged.
 const VERDICT_DELAY: Duration = Duration::from_millis(1200);
 
-/// Runs that are kept at most; more suspects wait.
+/// Limit of concurrent trials; further suspects wait.
 const MAX_TRIALS: usize = 256;
 
-/// One run of a suspect.
+/// One trial of a suspect.
 #[derive(Debug, Clone)]
 struct Trial {
     fingerprint: Fingerprint,
     target: Box<str>,
-    /// The link of the entry that runs it.
+    /// The connection of the entry that runs it.
     owner: u64,
     until: Duration,
 }
 
-/// The runs of suspects that are under way.
+/// The trials in progress.
 #[derive(Debug, Clone, Default)]
 pub(super) struct Trials {
     list: Vec<Trial>,
 }
 
 impl Trials {
-    /// Begins a run, unless the request runs or another suspect is at the target.
+    /// Begins a trial, unless the request already runs or the target has another trial.
     pub(super) fn begin(
         &mut self,
         fingerprint: Fingerprint,
@@ -52,7 +53,7 @@
         true
     }
 
-    /// Notes that a run has ended, in whatever way.
+    /// Records the end of a trial, whatever its result.
     pub(super) fn end(&mut self, fingerprint: Fingerprint, now: Duration) {
         let of = self
             .list
@@ -61,12 +62,12 @@
         of.for_each(|t| t.until = t.until.min(now + VERDICT_DELAY));
     }
 
-    /// Forgets a request that has survived its run.
+    /// Forgets a request that has survived its trial.
     pub(super) fn survived(&mut self, fingerprint: Fingerprint) {
         self.list.retain(|t| t.fingerprint != fingerprint);
     }
 
-    /// Notes that the entry of a link has gone, and its runs with it.
+    /// Records that the entry of a connection has disconnected, which ends its trials.
     pub(super) fn owner_disconnected(&mut self, owner: u64, now: Duration) {
         let of = self.list.iter_mut().filter(|t| t.owner == owner);
         of.for_each(|t| t.until = t.until.min(now + VERDICT_DELAY));
--- a/crates/stair-fleet/src/quarantine/watchlist.rs
+++ b/crates/stair-fleet/src/quarantine/watchlist.rs
@@ -1,4 +1,4 @@
-//! What an entry knows of suspects and quarantined requests.
+//! An entry's knowledge of suspects and quarantined requests.
 
 use std::time::Duration;
 
@@ -13,20 +13,21 @@
     Standing, //
 };
 
-/// Requests that are watched at most. A suspect makes way for a quarantined request, and does not come in otherwise.
+/// Limit of watched requests. At the limit a quarantined request replaces a suspect, and a suspect
+/// is not added.
 const MAX_WATCHED: usize = 1024;
 
 /// The requests that an entry watches.
 #[derive(Debug, Clone, Default)]
 pub struct Watchlist {
-    /// Sorted by request, so by outline too.
+    /// Sorted by request, and therefore by outline.
     list: Vec<Watched>,
 }
 
 #[derive(Debug, Clone, Copy)]
 struct Watched {
     fingerprint: Fingerprint,
-    /// Until when it is not run; a suspect from then on.
+    /// End of the quarantine; the request is a suspect after it.
     quarantined_until: Duration,
     forget_at: Duration,
 }
@@ -37,13 +38,13 @@
         self.list.is_empty()
     }
 
-    /// Whether a request with such an outline may be watched.
+    /// Whether a request with this outline may be watched.
     pub fn has_outline(&self, outline: Outline) -> bool {
         let key = |w: &Watched| w.fingerprint.outline();
         self.list.binary_search_by_key(&outline, key).is_ok()
     }
 
-    /// What is known of a request; `None` for an ordinary one.
+    /// The standing of a request; `None` for an ordinary one.
     pub fn standing(&self, fingerprint: &Fingerprint, now: Duration) -> Option<Standing> {
         let watched = self.list[self.find(fingerprint).ok()?];
         match watched.quarantined_until.saturating_sub(now) {
@@ -53,7 +54,7 @@
         }
     }
 
-    /// Takes in what is known of a request, and tells whether that is new.
+    /// Applies a notice, and returns whether it changes the standing of the request.
     pub fn apply(&mut self, notice: &Notice, now: Duration) -> bool {
         self.list
             .retain(|w| now < w.forget_at || now < w.quarantined_until);
@@ -94,13 +95,13 @@
         }
     }
 
-    /// Drops a request, and tells whether it was there.
+    /// Removes a request, and returns whether it was watched.
     pub fn remove(&mut self, fingerprint: &Fingerprint) -> bool {
         let found = self.find(fingerprint);
         found.map(|i| self.list.remove(i)).is_ok()
     }
 
-    /// All that is known.
+    /// The standings of all watched requests.
     pub fn notices(&self, now: Duration) -> Vec<Notice> {
         let notice = |w: &Watched| {
             let fingerprint = w.fingerprint;
--- a/crates/stair-fleet/src/quota.rs
+++ b/crates/stair-fleet/src/quota.rs
@@ -1,9 +1,11 @@
-//! Token buckets for the allowances of workspaces, shared by all entries.
+//! Token buckets for the quotas of workspaces, shared by all entries.
 //!
-//! Load: one workspace sends several times its usual rate through many entries, each of which sees a few requests a
-//! second, so that equal shares per entry would reject requests within the allowance.
+//! One workspace may send several times its usual rate through many entries, of which each sees a
+//! few requests a second. Equal shares per entry would refuse requests within the quota, so one
+//! process counts a workspace for all entries.
 //!
-//! Invariant: within any time `t` a [`Bucket`] admits at most `per_s * t + burst` and one request.
+//! Invariant: within any time `t` a [`Bucket`] admits at most `per_s * t + burst` units and one
+//! request.
 
 use std::time::Duration;
 
@@ -14,41 +16,41 @@
 
 use crate::workspace::Quota;
 
-/// The longest time over which clients that are refused are spread.
+/// The longest time over which the return times of refused clients are spread.
 const RETURN_SPREAD_WINDOW: Duration = Duration::from_secs(2);
 
-/// Asks for a part of an allowance.
+/// Requests a charge to a workspace's quota.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Request {
     /// The workspace.
     pub workspace: Box<str>,
-    /// The version of the catalogue that says so.
+    /// The version of the catalogue that the quota is from.
     pub version: u64,
-    /// What the workspace may ask for.
+    /// The workspace's quota.
     #[serde(rename = "allowance")]
     pub quota: Quota,
-    /// The units that the request costs.
+    /// The cost of the request, in units of the quota.
     pub cost: f64,
-    /// The longest wait that is of use.
+    /// The longest wait before the request is sent; with a longer one it is refused.
     #[serde(rename = "limit")]
     pub max_wait: Duration,
-    /// Whether the request has been let through already, so that its cost is only counted.
+    /// Whether the request has been admitted already and its cost is only charged.
     #[serde(rename = "passed")]
     pub admitted: bool,
-    /// Whether the one that is asked stands in for another that does not answer.
+    /// Whether the receiver replaces the owner of the workspace, which does not reply.
     pub stand_in: bool,
 }
 
-/// The answer to an [`Request`].
+/// The reply to a [`Request`].
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub struct Reply {
-    /// Whether the request may be sent, after the wait.
+    /// Whether the request may be sent, after `wait`.
     pub granted: bool,
-    /// How long to wait: before it is sent, or before the client comes back.
+    /// Time to wait before the request is sent, or before the refused client returns.
     pub wait: Duration,
 }
 
-/// What is left of one allowance.
+/// The token bucket of one quota.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct Bucket {
     #[serde(rename = "allowance")]
@@ -56,13 +58,13 @@
     /// Units that may be spent at once; below 0 after a request that cost more than there was.
     level: f64,
     at: Duration,
-    /// When the next client that is refused comes back.
+    /// When the next refused client may return.
     #[serde(rename = "returns_at")]
     next_return_at: Duration,
 }
 
 impl Bucket {
-    /// Makes one with nothing saved: what was let through before it was made is not known.
+    /// Creates an empty bucket: requests admitted before its creation are not known.
     pub fn new(quota: Quota, now: Duration) -> Self {
         Self {
             quota,
@@ -72,7 +74,7 @@
         }
     }
 
-    /// Puts another allowance in force.
+    /// Changes the quota.
     pub fn set(&mut self, quota: Quota, now: Duration) {
         if quota == self.quota {
             return;
@@ -85,13 +87,14 @@
         self.level = self.level.min(quota.burst);
     }
 
-    /// Drops what was saved.
+    /// Drops the units that have accumulated; a debt stays.
     pub fn discard_credit(&mut self, now: Duration) {
         self.refill(now);
         self.level = self.level.min(0.0);
     }
 
-    /// Lets a request through, now or after a wait, or tells when its client should come back.
+    /// Admits a request, now or after a wait of at most `max_wait`, or returns when its client may
+    /// return.
     pub fn spend(&mut self, cost: f64, max_wait: Duration, now: Duration) -> Reply {
         self.refill(now);
         let wait = self.time_to_zero();
@@ -113,7 +116,7 @@
         }
     }
 
-    /// Counts a request that has been let through.
+    /// Charges a request that has been admitted already.
     pub fn charge(&mut self, cost: f64, now: Duration) -> Reply {
         self.refill(now);
         self.level -= cost;
@@ -123,7 +126,7 @@
         }
     }
 
-    /// Gives back what a request has cost that was not run.
+    /// Refunds the cost of a request that was not run.
     pub fn refund(&mut self, cost: f64, now: Duration) {
         self.refill(now);
         self.level = (self.level + cost).min(self.quota.burst);
@@ -141,12 +144,12 @@
         self.level = (self.level + more).min(self.quota.burst);
     }
 
-    /// The time until nothing is owed.
+    /// Time until a debt is paid.
     fn time_to_zero(&self) -> Duration {
         self.refill_time(-self.level)
     }
 
-    /// The time in which so many units come.
+    /// Time in which this number of units accumulates.
     fn refill_time(&self, units: f64) -> Duration {
         /// Longer than any client waits.
         const MAX_REFILL_TIME: Duration = Duration::from_secs(3600);
@@ -155,37 +158,38 @@
     }
 }
 
-/// A workspace that has used its allowance up, or is back under it.
+/// A workspace exceeds its quota, or has recovered.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Crossing {
     /// A request was refused.
     Over,
-    /// Half of what may come at once has been saved again.
+    /// Half of the burst has accumulated again.
     Under,
 }
 
-/// The allowances that one process counts.
+/// The buckets of the workspaces that one process counts.
 #[derive(Debug, Clone, Default, Serialize)]
 pub struct Ledger {
     /// Sorted by workspace.
     accounts: Vec<Account>,
 }
 
-/// What is left to one workspace.
+/// The account of one workspace.
 #[derive(Debug, Clone, Serialize)]
 pub struct Account {
     /// The workspace.
     pub workspace: Box<str>,
-    /// The version of the catalogue that its allowance is from.
+    /// The version of the catalogue that the quota is from.
     pub version: u64,
-    /// What is left.
+    /// The remaining units.
     pub bucket: Bucket,
-    /// Whether a request was refused and the allowance has not recovered since.
+    /// Whether a request was refused and the bucket has not recovered since.
     pub over: bool,
 }
 
 impl Ledger {
-    /// Answers an entry.
+    /// Handles a request of an entry. Also returns whether the workspace has exceeded its quota or
+    /// recovered with it.
     pub fn handle(&mut self, req: &Request, now: Duration) -> (Reply, Option<Crossing>) {
         let account = self.account(req, now);
         if req.version >= account.version {
@@ -202,14 +206,14 @@
         (reply, account.crossing(reply.granted))
     }
 
-    /// Gives back what a request has cost that was not run.
+    /// Refunds the cost of a request that was not run.
     pub fn refund(&mut self, workspace: &str, cost: f64, now: Duration) {
         if let Ok(i) = self.find(workspace) {
             self.accounts[i].bucket.refund(cost, now);
         }
     }
 
-    /// The accounts, by workspace.
+    /// The accounts, sorted by workspace.
     pub fn accounts(&self) -> &[Account] {
         &self.accounts
     }
@@ -251,7 +255,7 @@
     }
 }
 
-/// One entry's part of an allowance, for when nobody who counts it answers.
+/// One entry's share of a quota, for the time in which no process that counts it replies.
 pub fn share(quota: Quota, entries: u32) -> Quota {
     let share = |amount: f64| amount / f64::from(entries.max(1));
     Quota {
--- a/crates/stair-fleet/src/target.rs
+++ b/crates/stair-fleet/src/target.rs
@@ -1,4 +1,4 @@
-//! What a target announces, and what its agent reports of it.
+//! What a target announces and what its agent reports.
 
 use std::{
     net::SocketAddr,
@@ -13,29 +13,30 @@
 /// A target as it announces itself.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Target {
-    /// Names the target. A restart has another one, or the same with a later start.
+    /// Identifies one incarnation of the target. After a restart the id differs, or is the same
+    /// with a later `started`.
     pub id: Box<str>,
-    /// When this life of it started, in milliseconds of its own clock, where it says so.
+    /// Start of this incarnation in milliseconds of the target's own clock, if announced.
     pub started: Option<u64>,
-    /// The service that it belongs to.
+    /// The service that the target belongs to.
     pub service: Box<str>,
-    /// Where it takes requests.
+    /// The address for requests.
     pub addr: SocketAddr,
-    /// Its data centre.
+    /// The data centre of the target.
     pub data_centre: Box<str>,
-    /// Requests that it runs at once.
+    /// Number of requests that the target runs concurrently.
     pub slots: u32,
-    /// Whether it takes new requests.
+    /// Whether the target accepts new requests.
     pub state: State,
-    /// How much longer it is slow after its start.
+    /// Remaining time for which the target is slow after its start.
     pub cold: Duration,
-    /// What it holds, if it is a model engine.
+    /// Loaded models and copies, if the target is an engine.
     #[serde(rename = "holds")]
     pub inventory: Inventory,
 }
 
 impl Target {
-    /// Whether two words of a target differ in nothing but what it holds.
+    /// Whether two announcements differ in nothing but their inventories.
     pub fn eq_except_inventory(&self, other: &Self) -> bool {
         let Self {
             id,
@@ -59,54 +60,54 @@
     }
 }
 
-/// Whether a target takes new requests.
+/// Whether a target accepts new requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum State {
-    /// It does.
+    /// It accepts new requests.
     Ready,
-    /// It leaves; with the time after which it is gone whatever it runs, where that is known.
+    /// It accepts none, and ends after this time whatever it runs, if the time is known.
     Draining(Option<Duration>),
 }
 
-/// The models of an engine.
+/// Models and copies of models at an engine.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct Inventory {
-    /// Ready to run, sorted by name.
+    /// Loaded models, sorted by name.
     pub models: Vec<LoadedModel>,
-    /// Copies in host memory, sorted.
+    /// Models with a copy in host memory, sorted.
     pub in_memory: Vec<Box<str>>,
-    /// Copies on disk, sorted.
+    /// Models with a copy on disk, sorted.
     pub on_disk: Vec<Box<str>>,
 }
 
-/// One model in an engine.
+/// A model that is loaded in an engine.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct LoadedModel {
-    /// The model.
+    /// The model's name.
     pub name: Box<str>,
-    /// Its adapters there, sorted.
+    /// Its loaded adapters, sorted.
     pub adapters: Vec<Box<str>>,
 }
 
-/// Where the fastest copy of a model lies for an engine.
+/// Location of the fastest copy of a model, seen from an engine. Ordered from fast to slow.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum CopyLocation {
-    /// In host memory.
+    /// Host memory of the engine's VM.
     Memory,
-    /// On the engine's disk.
+    /// Disk of the engine's VM.
     Disk,
-    /// Only in the weight store.
+    /// The weight store.
     Store,
 }
 
 impl Inventory {
-    /// Finds a model that is ready to run.
+    /// Finds a loaded model.
     pub fn model(&self, name: &str) -> Option<&LoadedModel> {
         let i = self.models.binary_search_by(|m| (*m.name).cmp(name)).ok()?;
         Some(&self.models[i])
     }
 
-    /// Tells where the fastest copy of a model lies.
+    /// Returns the location of the fastest copy of a model.
     pub fn copy(&self, name: &str) -> CopyLocation {
         let has = |list: &[Box<str>]| list.binary_search_by(|m| (**m).cmp(name)).is_ok();
         if has(&self.in_memory) {
@@ -118,12 +119,12 @@
         }
     }
 
-    /// Whether a model is there, ready to run or as a copy.
+    /// Whether the engine has the model loaded or has a copy of it.
     pub fn has_copy(&self, name: &str) -> bool {
         self.model(name).is_some() || self.copy(name) != CopyLocation::Store
     }
 
-    /// Puts all lists in the order that lookups rely on.
+    /// Sorts all lists; lookups rely on the order.
     pub fn sort(&mut self) {
         self.models.sort_by(|a, b| a.name.cmp(&b.name));
         for held in &mut self.models {
@@ -134,99 +135,100 @@
     }
 }
 
-/// What an engine's agent has told of it.
+/// What an engine's agent has reported.
 #[derive(Debug, Clone, Default, PartialEq, Serialize)]
 pub struct Report {
-    /// What it holds.
+    /// Loaded models and copies.
     #[serde(rename = "holds")]
     pub inventory: Inventory,
-    /// The rest.
+    /// Everything else.
     pub load: Load,
 }
 
-/// What an engine's agent has read from it beside what it holds, and what it is doing to it.
+/// What an engine's agent reports beside the inventory.
 ///
-/// Apart from the lists in [`Inventory`], which change seldom: fifty agents tell this to thirty entries
-/// several times a second.
+/// It is kept apart from [`Inventory`], which changes seldom, because fifty agents send it to
+/// thirty entries several times a second.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct Load {
-    /// Whether the engine answers its agent.
+    /// Whether the engine replies to its agent.
     pub alive: bool,
-    /// Requests waiting in it.
+    /// Requests queued in the engine.
     pub queued: u32,
-    /// Requests running in it.
+    /// Requests running in the engine.
     pub running: u32,
-    /// Time for which it has prompts to read.
+    /// Time for which the engine has prompts to prefill.
     pub backlog: Duration,
-    /// Tokens of its memory that cannot be freed.
+    /// Tokens of the engine's memory that cannot be freed.
     pub used_tokens: u64,
-    /// Tokens that its memory has room for.
+    /// Capacity of the engine's memory in tokens.
     pub total_tokens: u64,
-    /// The load that is under way, if any.
+    /// The load in progress.
     pub loading: Option<Loading>,
-    /// What became of the last load from the weight store, for some time.
+    /// The last load from the weight store, if it ended recently.
     pub fetched: Option<Fetched>,
-    /// Time that the loads which are asked for and have not begun will take.
+    /// Expected duration of the loads that are requested and have not begun.
     #[serde(rename = "to_load")]
     pub queued_load_time: Duration,
     /// Whether a model is being unloaded.
     pub unloading: bool,
-    /// Models that are unloaded, or will be once their requests have ended; they get no new ones.
+    /// Models that are being unloaded, or will be when their requests have ended. They get no new
+    /// requests.
     #[serde(rename = "leaving")]
     pub draining: Vec<Box<str>>,
-    /// Adapters that it could take now: free places and those that nothing uses.
+    /// Adapters that can be loaded now: free adapter slots, and slots of adapters without requests.
     pub free_adapters: u32,
-    /// Use of what it holds, by all entries, sorted by model.
+    /// Use of the loaded models by all entries, sorted by model.
     pub usage: Vec<Usage>,
-    /// Demand for models that no engine could load in time, of those that this agent counts.
+    /// Demand for models that no engine could load in time, counted by this agent.
     pub unserved: Vec<Demand>,
 }
 
-/// Requests for a model.
+/// Rate of requests for a model.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Demand {
     /// The model.
     pub model: Box<str>,
-    /// Requests a second lately.
+    /// Recent requests per second.
     pub per_s: f32,
 }
 
-/// A load under way.
+/// A load in progress.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Loading {
     /// The model.
     pub model: Box<str>,
-    /// Where it comes from.
+    /// The location that it is loaded from.
     pub from: CopyLocation,
-    /// Time until it is expected to be ready, when the report was made.
+    /// Expected time until it is loaded, as of the report.
     #[serde(rename = "left")]
     pub remaining: Duration,
-    /// How many times the declared time it had taken by then.
+    /// Time taken so far as a multiple of the declared load time.
     #[serde(rename = "times")]
     pub slowdown: f32,
 }
 
-/// A load from the weight store that has ended.
+/// A completed load from the weight store.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub struct Fetched {
-    /// Loads that were under way when it began, itself among them.
+    /// Loads in progress when it began, itself included.
     #[serde(rename = "together")]
     pub concurrent: u32,
-    /// How many times the declared time it took.
+    /// Time taken as a multiple of the declared load time.
     #[serde(rename = "times")]
     pub slowdown: f32,
 }
 
-/// How much a model is used at one engine.
+/// Use of a model at one engine.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct Usage {
     /// The model.
     pub model: Box<str>,
     /// Requests in flight.
     pub in_flight: u32,
-    /// Requests a second lately.
+    /// Recent requests per second.
     pub per_s: f32,
-    /// Part of the engine's time that reading their prompts took lately; 1 is all of it.
+    /// Fraction of the engine's time that prefill of this model's prompts took recently, 0 to 1.
     #[serde(rename = "work")]
     pub prefill_fraction: f32,
 }
--- a/crates/stair-fleet/src/target_state.rs
+++ b/crates/stair-fleet/src/target_state.rs
@@ -1,4 +1,4 @@
-//! One target as an entry knows it.
+//! The state that an entry keeps of one target.
 
 use std::{
     net::SocketAddr,
@@ -12,61 +12,65 @@
     Target, //
 };
 
-/// Age up to which a report goes before the list: three heartbeats of an agent.
+/// Age below which a report takes precedence over the list: three heartbeats of an agent.
 pub const REPORT_TTL: Duration = Duration::from_secs(3);
 
-/// Time for which a target that failed a connection or fell silent is left out.
+/// Time for which a target is left out after a failed connection or a missed heartbeat.
 pub const SUSPECT_DURATION: Duration = Duration::from_millis(1500);
 
-/// Time for which announcements of an earlier life are dropped while none of the later one comes: three heartbeats
-/// of a target. After it the clock was set back between the lives.
+/// Time for which announcements of a stale incarnation are dropped while none of the current one
+/// arrives: three heartbeats of a target. If they still arrive after it, the target's clock was set
+/// back between the two incarnations, and the one with the earlier start is the current one.
 pub const STALE_ANNOUNCEMENT_TIMEOUT: Duration = Duration::from_millis(3600);
 
-/// Time without a message of a target's agent after which its VM is taken to stand still. An agent that ends closes
-/// its connections.
+/// Time without a message of a target's agent after which its VM counts as unresponsive. An agent
+/// process that ends closes its connections, so silence points to the VM.
 pub const UNRESPONSIVE_TIMEOUT: Duration = Duration::from_millis(1250);
 
-/// Time after which an agent's heartbeat is overdue; an unanswered request then marks the VM at once.
+/// Time after which an agent's heartbeat is overdue. A request to the agent that also gets no reply
+/// then marks the VM as unresponsive at once.
 pub const HEARTBEAT_TIMEOUT: Duration = Duration::from_millis(1000);
 
-/// Weight of the newest sample in the averages.
+/// Weight of the newest sample in the moving averages.
 const SAMPLE_WEIGHT: f64 = 0.2;
 
-/// One target as an entry knows it.
+/// What an entry knows of one incarnation of a target.
 #[derive(Debug, Clone)]
 pub struct TargetState {
-    /// What it announced.
+    /// The last announcement.
     pub target: Target,
-    /// Whether the list still has it; otherwise it has left and gets nothing new.
+    /// Whether the target is on the list. A removed target gets no new requests.
     pub listed: bool,
-    /// Set when the newest list lacks it: it has left from then on.
+    /// Set when the newest list lacks the target: the time from which it counts as removed.
     pub missing_until: Option<Duration>,
-    /// Its agent's last report, and when it came.
+    /// The last report of the target's agent, and its time of arrival.
     pub report: Option<(Report, Duration)>,
-    /// When its agent was last heard; `None` when none is linked, or it has closed the link.
+    /// Arrival of the agent's last message; `None` when no agent is connected.
     pub last_message: Option<Duration>,
-    /// Whether its VM is taken to stand still.
+    /// Whether the target's VM counts as unresponsive.
     pub unresponsive: bool,
-    /// Left out until then.
+    /// The target is left out until this time.
     pub suspect_until: Duration,
-    /// Requests of this entry in flight there.
+    /// Requests of this entry in flight at the target.
     pub in_flight: u32,
-    /// Prompt tokens of this entry's requests there that have had no event yet.
+    /// Prompt tokens of those requests that have had no event yet.
     pub unread_tokens: u64,
-    /// Until when the engine has prompts to read, by its agent's last word.
+    /// End of the engine's prefill backlog, by the agent's last message.
     pub prefill_until: Duration,
-    /// Share of attempts that failed lately, 0 to 1.
+    /// Moving average of failed attempts, 0 to 1.
     pub failing: f64,
-    /// Time to the answer's head or first event lately beyond what was expected, in milliseconds.
+    /// Moving average of the time to the response's head or first event beyond the expected time,
+    /// in milliseconds.
     pub delay_ms: f64,
-    /// What it held when it left without a word, and when its agent last spoke.
+    /// The inventory of a target that was removed without draining, and the time of its last
+    /// report.
     pub(crate) last_inventory: Option<(Inventory, Duration)>,
-    /// Whether its service is declared. An announcement of another one was written by a stranger, and
-    /// its address can be that of a sound target.
+    /// Whether the target's service is declared. An announcement of an undeclared service comes
+    /// from an unknown writer, and its address can be that of a healthy target.
     pub(crate) declared: bool,
-    /// Since when only words of an earlier life have come.
+    /// Time since which only announcements of stale incarnations have arrived.
     pub(crate) stale_since: Option<Duration>,
-    /// Rises with each life that was seen for the first time.
+    /// Increases with each incarnation seen for the first time.
     pub(crate) serial: u64,
 }
 
@@ -92,7 +96,7 @@
         }
     }
 
-    /// One that is not listed.
+    /// A placeholder that is not listed.
     pub(crate) fn removed() -> Self {
         let target = Target {
             id: "".into(),
@@ -111,7 +115,8 @@
         }
     }
 
-    /// Whether the target takes new requests as far as is known.
+    /// Whether the target accepts new requests by all that is known: it is listed as ready, and not
+    /// missing, unresponsive, suspect or reported dead.
     pub fn is_available(&self, now: Duration) -> bool {
         let missing = self.missing_until.is_some_and(|t| now >= t);
         let dead = self.fresh_report(now).is_some_and(|r| !r.load.alive);
@@ -119,7 +124,7 @@
         ready && !missing && !self.unresponsive && now >= self.suspect_until && !dead
     }
 
-    /// Whether the target takes new requests, by its own word alone where suspicion is left aside.
+    /// Whether the target accepts new requests. With `suspects`, being listed as ready is enough.
     pub fn accepts(&self, suspects: bool, now: Duration) -> bool {
         self.is_available(now) || (suspects && self.listed_ready())
     }
@@ -128,13 +133,14 @@
         self.listed && self.missing_until.is_none() && self.target.state == State::Ready
     }
 
-    /// Returns the agent's report if it is fresh.
+    /// Returns the agent's report if it is younger than [`REPORT_TTL`].
     pub fn fresh_report(&self, now: Duration) -> Option<&Report> {
         let (report, at) = self.report.as_ref()?;
         (now.saturating_sub(*at) < REPORT_TTL).then_some(report)
     }
 
-    /// Returns what the target holds, by the report if it is fresh, else by the list.
+    /// Returns the engine's inventory: the reported one if the report is fresh and the engine
+    /// alive, else the announced one.
     pub fn inventory(&self, now: Duration) -> &Inventory {
         match self.fresh_report(now) {
             Some(report) if report.load.alive => &report.inventory,
@@ -142,20 +148,21 @@
         }
     }
 
-    /// Whether the model can run there now, and is not about to be dropped.
+    /// Whether the model is loaded at the target and is not about to be unloaded.
     pub fn can_run(&self, model: &str, now: Duration) -> bool {
         let report = self.fresh_report(now);
         let leaving = report.is_some_and(|r| r.load.draining.iter().any(|m| **m == *model));
         !leaving && self.inventory(now).model(model).is_some()
     }
 
-    /// Whether the model is being loaded there.
+    /// Whether the target is loading the model.
     pub fn is_loading(&self, model: &str, now: Duration) -> bool {
         let loading = self.fresh_report(now).and_then(|r| r.load.loading.as_ref());
         loading.is_some_and(|l| *l.model == *model)
     }
 
-    /// Notes that the target has said it does not hold a model, ahead of the report that says so.
+    /// Removes a model that the target has just reported as not loaded, before the next report
+    /// shows it.
     pub fn mark_not_loaded(&mut self, model: &str) {
         let lists = [
             Some(&mut self.target.inventory),
@@ -166,16 +173,17 @@
         }
     }
 
-    /// Whether a word about the target is one of the life that is known.
+    /// Whether an announcement is of the known incarnation.
     pub(crate) fn is_same_incarnation(&self, word: &Target) -> bool {
         self.target.id == word.id && self.target.started == word.started
     }
 
-    /// Whether a word is one of an earlier life, which changes nothing.
+    /// Whether an announcement is of a stale incarnation and has to be dropped; see
+    /// [`STALE_ANNOUNCEMENT_TIMEOUT`].
     pub(crate) fn is_stale(&mut self, word: &Target, now: Duration) -> bool {
         let older = match (word.started, self.target.started) {
             (Some(word), Some(known)) => word < known,
-            // Who says when its life started always does: another writer has written this.
+            // A target that announces its start always does, so this comes from another writer.
             (None, Some(_)) => true,
             (_, None) => false,
         };
@@ -186,7 +194,7 @@
         now.saturating_sub(since) < STALE_ANNOUNCEMENT_TIMEOUT
     }
 
-    /// Notes that the target is gone.
+    /// Takes the target off the list.
     pub fn mark_removed(&mut self) {
         self.listed = false;
         let report = self.report.take();
@@ -195,7 +203,8 @@
         }
     }
 
-    /// Whether it is down with a copy of a model, so that the model may soon be there again.
+    /// Whether the target is unavailable and has a copy of a model, so that the model may soon be
+    /// available there again.
     pub(crate) fn is_down_with_copy(&self, model: &str, now: Duration) -> bool {
         let inventory = match &self.report {
             Some((report, _)) => &report.inventory,
@@ -204,19 +213,21 @@
         self.target.state == State::Ready && !self.is_available(now) && inventory.has_copy(model)
     }
 
-    /// Takes in that its agent has said something.
+    /// Records a message of the target's agent.
     pub fn record_message(&mut self, now: Duration) {
         self.last_message = Some(now);
         self.unresponsive = false;
     }
 
-    /// Takes in that its agent has gone and its VM has not: the connection was closed or refused.
+    /// Records that the agent's process has ended while its VM runs: the connection was closed or
+    /// refused.
     pub fn agent_disconnected(&mut self) {
         self.last_message = None;
         self.unresponsive = false;
     }
 
-    /// Takes its VM to stand still if its agent has said nothing for so long; whether that is new.
+    /// Marks the VM as unresponsive if its agent has sent nothing for `after`. Returns whether the
+    /// mark is new.
     pub fn mark_unresponsive(&mut self, after: Duration, now: Duration) -> bool {
         let silent = |at: Duration| now.saturating_sub(at) >= after;
         let falls = self.listed && !self.unresponsive && self.last_message.is_some_and(silent);
@@ -224,13 +235,13 @@
         falls
     }
 
-    /// Takes the outcome of an attempt into the averages.
+    /// Adds the result of an attempt to the average.
     pub fn record_attempt(&mut self, ok: bool) {
         let sample = if ok { 0.0 } else { 1.0 };
         self.failing += SAMPLE_WEIGHT * (sample - self.failing);
     }
 
-    /// Takes a delay beyond the expected into the averages.
+    /// Adds a delay beyond the expected time to the average.
     pub fn record_delay(&mut self, ms: f64) {
         self.delay_ms += SAMPLE_WEIGHT * (ms - self.delay_ms);
     }
--- a/crates/stair-fleet/src/view.rs
+++ b/crates/stair-fleet/src/view.rs
@@ -1,7 +1,8 @@
-//! All that one entry knows of the targets, with the age of each part.
+//! What one entry knows of the targets, with the age of each piece.
 //!
-//! Sources: the list in the store, reports of agents, and the entry's own requests. A report goes before the list while
-//! its link is up; without one the list decides, so that a sound engine with a dead agent is still used.
+//! The sources are the list in the store, the reports of agents and the entry's own requests. While
+//! an agent is connected its report takes precedence over the list. Without an agent the list
+//! decides, so that a healthy engine whose agent has failed is still used.
 
 use std::{
     net::SocketAddr,
@@ -27,41 +28,41 @@
     },
 };
 
-/// Names a target in one [`View`] for as long as the process runs.
+/// Identifies a target in one [`View`] for the lifetime of the process.
 ///
-/// The slot of one that has left is used again. A request may have waited for a slot meanwhile, and by
-/// the slot alone it would go to whatever target has it now, of another service too.
+/// The slot of a removed target is reused, possibly for a target of another service, while a
+/// request still waits with the old key. The serial keeps that request from the new target.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct TargetKey {
     slot: u32,
     serial: u64,
 }
 
-/// A line of the list as one entry tells it another.
+/// An item of the list as entries send it to each other.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Listed {
     /// The target.
     pub target: Target,
-    /// Set when the newest list lacks it: how much longer it is waited for.
+    /// Set when the newest list lacks the target: the remaining time until it counts as removed.
     pub missing_for: Option<Duration>,
 }
 
-/// The targets, in an arena: a key stays valid although its target leaves, and names none once its slot
-/// has another.
+/// All targets, in an arena. The key of a removed target stays valid; it refers to a placeholder
+/// once the slot is reused.
 #[derive(Debug, Clone)]
 pub struct View {
     targets: Vec<TargetState>,
-    /// What keys name whose slots have another target: never listed.
+    /// Placeholder for keys whose slots were reused; never listed.
     removed: TargetState,
-    /// That of the newest life.
+    /// The serial of the newest incarnation.
     serial: u64,
-    /// Services that operators declare, sorted; `None` until that is known.
+    /// Declared services, sorted; `None` until they are known.
     declared: Option<Vec<Box<str>>>,
-    /// Revision of the store that the list is complete up to, 0 for none.
+    /// Revision of the store up to which the list is complete, 0 for none.
     pub revision: u64,
 }
 
-/// Time for which it is kept what a target held when it left.
+/// Time for which the inventory of a removed target is remembered.
 const REMOVED_INVENTORY_TTL: Duration = Duration::from_secs(15);
 
 impl Default for View {
@@ -77,10 +78,10 @@
 }
 
 impl View {
-    /// Replaces the list by a whole one.
+    /// Replaces the whole list.
     ///
-    /// One that is missing from it is used until `missing_until`: after the store was away, a
-    /// target that lives may only be late in announcing itself again.
+    /// A target that the new list lacks is used until `missing_until`: after an outage of the
+    /// store, a live target may only be late in announcing itself again.
     pub fn replace(
         &mut self,
         targets: Vec<Target>,
@@ -99,7 +100,7 @@
         self.revision = revision;
     }
 
-    /// Takes in which services are declared, in any order.
+    /// Sets the declared services, in any order.
     pub fn declare<'a, I>(&mut self, services: I)
     where
         I: IntoIterator<Item = &'a str>,
@@ -117,7 +118,8 @@
         declared.is_none_or(|list| list.binary_search_by(|s| (**s).cmp(service)).is_ok())
     }
 
-    /// Replaces the list by that of a peer, who may still wait for some of them itself.
+    /// Replaces the list by a peer's. The peer may still wait for targets that are missing from its
+    /// own list.
     pub fn replace_from_peer(&mut self, listed: Vec<Listed>, revision: u64, now: Duration) {
         let late: Vec<(Box<str>, Duration)> = listed
             .iter()
@@ -133,9 +135,9 @@
         }
     }
 
-    /// Takes in what one target announces. A later life of it replaces the one before; a word of an
-    /// earlier life is dropped, as by [`STALE_ANNOUNCEMENT_TIMEOUT`](crate::target_state::STALE_ANNOUNCEMENT_TIMEOUT). `None` for what
-    /// is dropped.
+    /// Applies an announcement. A newer incarnation replaces the known one. Returns `None` when the
+    /// announcement is of a stale incarnation and dropped; see
+    /// [`STALE_ANNOUNCEMENT_TIMEOUT`](crate::target_state::STALE_ANNOUNCEMENT_TIMEOUT).
     pub fn put(&mut self, target: Target, now: Duration) -> Option<TargetKey> {
         let listed = |s: &TargetState| s.listed && s.target.id == target.id;
         let known = self.targets.iter().position(listed);
@@ -160,9 +162,9 @@
         Some(self.key(i))
     }
 
-    /// Ends the other target at an address, whose announcement is missing: it has not come back. Both at
-    /// one address would have the agent's reports count for the dead one, and the living one would get no
-    /// orders.
+    /// Removes the other target at an address if its announcement is missing: a new incarnation has
+    /// taken its place. If both were listed, the agent's reports would count for the dead one, and
+    /// the live one would get no orders.
     fn remove_missing_at(&mut self, addr: SocketAddr) {
         let missing = |s: &&mut TargetState| s.target.addr == addr && s.missing_until.is_some();
         self.targets
@@ -171,10 +173,10 @@
             .for_each(TargetState::mark_removed);
     }
 
-    /// Finds the slot of a life, or gives it one.
+    /// Finds the slot of an incarnation, or assigns one.
     ///
-    /// A slot of a target that is gone and has nothing in flight is used again, so that a process that
-    /// sees many replacements does not grow.
+    /// The slot of a removed target without requests in flight is reused, so that memory does not
+    /// grow with the number of replaced targets.
     fn slot(&mut self, target: &Target, now: Duration) -> usize {
         if let Some(i) = self
             .targets
@@ -205,7 +207,7 @@
         }
     }
 
-    /// Removes one target from the list.
+    /// Removes a target from the list.
     pub fn remove(&mut self, id: &str) {
         let mut listed = self.targets.iter_mut().filter(|s| s.listed);
         if let Some(state) = listed.find(|s| *s.target.id == *id) {
@@ -213,10 +215,11 @@
         }
     }
 
-    /// Takes what has been missing for too long from the list.
+    /// Removes targets that have been missing for too long.
     ///
-    /// A dead target that stayed on it would still be found by its address, which its next life has
-    /// as well: that engine would be told a life it no longer is, and would refuse all orders.
+    /// A dead target that stayed on the list would still be found by its address, which its next
+    /// incarnation shares. The agent there would get the stale incarnation, and the engine
+    /// would refuse all orders.
     pub fn expire(&mut self, now: Duration) {
         let missing = |s: &&mut TargetState| s.missing_until.is_some_and(|t| now >= t);
         self.targets
@@ -225,8 +228,8 @@
             .for_each(TargetState::mark_removed);
     }
 
-    /// Whether an engine that is down, or has left without a word within a time, has a copy of a model. Engines
-    /// that crash come back with what is on their disks.
+    /// Whether an engine with a copy of a model is unavailable, or was removed without draining
+    /// less than `within` ago. An engine that crashes comes back with the copies on its disk.
     pub fn may_return(&self, service: &str, model: &str, within: Duration, now: Duration) -> bool {
         let of_service = self
             .targets
@@ -243,33 +246,34 @@
         down.next().is_some()
     }
 
-    /// Whether a target at an address has told what it holds.
+    /// Whether the target at an address has reported its inventory recently.
     fn has_fresh_report_at(&self, addr: SocketAddr, now: Duration) -> bool {
         self.at(addr)
             .is_some_and(|(_, s)| s.fresh_report(now).is_some())
     }
 
-    /// Finds the target that is at an address now: of several lives the newest one that the list
-    /// has, since the one before stays on it until its heartbeats have been missed.
+    /// Finds the current target at an address. Of several incarnations it is the newest that is
+    /// listed and not missing; the one before stays on the list until its heartbeats have been
+    /// missed.
     pub fn at(&self, addr: SocketAddr) -> Option<(TargetKey, &TargetState)> {
         let here = self.all().filter(|(_, s)| s.target.addr == addr);
         here.max_by_key(|(_, s)| (s.missing_until.is_none(), s.serial))
     }
 
-    /// What a listed target says of itself.
+    /// Returns the announced state of a listed target.
     pub fn state_of(&self, id: &str) -> Option<State> {
         let found = self.all().find(|(_, s)| *s.target.id == *id);
         found.map(|(_, s)| s.target.state)
     }
 
-    /// Takes in what the agent at an address says that its engine holds.
+    /// Applies an inventory that the agent at an address has reported.
     pub fn set_inventory_at(&mut self, addr: SocketAddr, inventory: Inventory, now: Duration) {
         if let Some(report) = self.report_at(addr, now) {
             report.inventory = inventory;
         }
     }
 
-    /// Takes in what the agent at an address says beside that.
+    /// Applies a load that the agent at an address has reported.
     pub fn set_load_at(&mut self, addr: SocketAddr, load: Load, now: Duration) {
         let backlog = load.backlog;
         if let Some(report) = self.report_at(addr, now) {
@@ -278,20 +282,20 @@
         self.set_prefill_until(addr, now + backlog);
     }
 
-    /// Takes in that the agent at an address has said something.
+    /// Records a message of the agent at an address.
     pub fn record_message_at(&mut self, addr: SocketAddr, now: Duration) {
         if let Some((key, _)) = self.at(addr) {
             self.get_mut(key).record_message(now);
         }
     }
 
-    /// Takes in that the agent at an address has gone and its VM has not.
+    /// Records that the agent at an address has ended while its VM runs.
     pub fn agent_disconnected_at(&mut self, addr: SocketAddr) {
         let here = self.targets.iter_mut().filter(|s| s.target.addr == addr);
         here.for_each(TargetState::agent_disconnected);
     }
 
-    /// Marks the targets whose VMs have fallen quiet, and returns their ids.
+    /// Marks the targets whose VMs have become unresponsive, and returns their ids.
     pub fn mark_unresponsive(&mut self, now: Duration) -> Vec<Box<str>> {
         let all = self.targets.iter_mut();
         let quiet = all.filter_map(|s| {
@@ -301,7 +305,7 @@
         quiet.collect()
     }
 
-    /// Takes in until when the engine at an address has prompts to read.
+    /// Sets the end of the prefill backlog of the engine at an address.
     pub fn set_prefill_until(&mut self, addr: SocketAddr, until: Duration) {
         if let Some((key, _)) = self.at(addr) {
             self.get_mut(key).prefill_until = until;
@@ -316,14 +320,15 @@
         Some(report)
     }
 
-    /// Drops the report of the agent at an address: its link is gone.
+    /// Drops the report of the agent at an address, whose connection has ended.
     pub fn drop_report_at(&mut self, addr: SocketAddr) {
         for state in self.targets.iter_mut().filter(|s| s.target.addr == addr) {
             state.report = None;
         }
     }
 
-    /// Returns a target; one that is not listed and has no address when its slot has another.
+    /// Returns a target, or a placeholder that is not listed and has no address if its slot was
+    /// reused.
     pub fn get(&self, key: TargetKey) -> &TargetState {
         let state = &self.targets[key.slot as usize];
         if state.serial == key.serial {
@@ -333,8 +338,8 @@
         }
     }
 
-    /// Returns a target to change what was state of it. Nobody looks at what is changed of one whose slot
-    /// has another.
+    /// Returns the state of a target to be changed. Changes to the placeholder of a reused slot are
+    /// lost.
     pub fn get_mut(&mut self, key: TargetKey) -> &mut TargetState {
         let state = &mut self.targets[key.slot as usize];
         if state.serial == key.serial {
@@ -345,7 +350,7 @@
         }
     }
 
-    /// All listed targets of a service.
+    /// Listed targets of a service.
     pub fn of<'a>(
         &'a self,
         service: &'a str,
@@ -354,7 +359,7 @@
             .filter(move |(_, s)| *s.target.service == *service)
     }
 
-    /// All listed targets of declared services.
+    /// Listed targets of declared services.
     pub fn all(&self) -> impl Iterator<Item = (TargetKey, &TargetState)> {
         self.targets
             .iter()
@@ -363,9 +368,11 @@
             .filter(|(_, s)| s.listed && s.declared)
     }
 
-    /// Copies the list for a peer, without what has left: a target that came back that way would
-    /// get requests after its word that it leaves. With targets of services that are not declared here:
-    /// the peer may have newer declarations, and would take those for gone.
+    /// Copies the list for a peer.
+    ///
+    /// Removed targets are left out: if one came back that way it would get requests after it
+    /// announced that it drains. Targets of services that are not declared here are included: the
+    /// peer may have newer declarations, and would count those targets as removed.
     pub fn list(&self, now: Duration) -> Vec<Listed> {
         let published = |s: &&TargetState| s.listed && s.missing_until.is_none_or(|t| now < t);
         let all = self.targets.iter().filter(published);
--- a/crates/stair-fleet/src/workspace.rs
+++ b/crates/stair-fleet/src/workspace.rs
@@ -1,6 +1,6 @@
-//! Workspaces: who a request is for, how urgent it is, and how much it may ask for.
+//! Workspaces: their keys, the rank of their requests and their quotas.
 //!
-//! Invariant: each key belongs to one workspace, and each name stands once.
+//! Invariant: each key belongs to one workspace, and names are unique.
 
 use serde::{
     Deserialize,
@@ -11,40 +11,40 @@
 /// One workspace.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Workspace {
-    /// Its name, which targets are told.
+    /// Its name, which is sent to targets.
     pub name: Box<str>,
-    /// The rank of its requests, 0 first; `None` leaves them the rank of their route.
+    /// The rank of its requests, 0 first; `None` keeps the rank of their route.
     pub rank: Option<u8>,
-    /// What it may ask for; `None` is without limit.
+    /// Its quota; `None` for no limit.
     #[serde(rename = "allowance")]
     pub quota: Option<Quota>,
 }
 
-/// How much a workspace may ask for, over all entries together.
+/// The rate limit of a workspace, over all entries together.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub struct Quota {
-    /// Units a second; above 0.
+    /// Units per second; above 0.
     pub per_s: f64,
-    /// Units beyond the rate that may come at once.
+    /// Units that may be spent at once after a pause, beyond the rate.
     pub burst: f64,
-    /// What is counted.
+    /// The unit.
     pub unit: Unit,
 }
 
-/// What an allowance counts.
+/// The unit of a quota.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub enum Unit {
-    /// Each request as one.
+    /// Requests.
     Requests,
-    /// The tokens of the prompt and of the answer at most.
+    /// Tokens of the prompt and the most that the response may have.
     Tokens {
-        /// Tokens of a request that names none.
+        /// Tokens charged for a request that states none.
         plain: f64,
     },
 }
 
 impl Unit {
-    /// What a request costs, given the tokens that it names.
+    /// The cost of a request that states this number of tokens, 0 for none.
     pub fn cost(self, tokens: u64) -> f64 {
         match self {
             Self::Requests => 1.0,
@@ -54,7 +54,7 @@
     }
 }
 
-/// What an operator declares of one workspace.
+/// A workspace as operators declare it.
 #[derive(Debug, Clone)]
 pub struct Declared {
     /// The workspace.
@@ -63,13 +63,13 @@
     pub keys: Vec<KeyDigest>,
 }
 
-/// Why declared workspaces cannot be put in force.
+/// Why a declaration of workspaces is rejected.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum Problem {
-    /// Two workspaces have one name.
+    /// Two workspaces have the same name.
     #[error("workspace {0:?} is declared twice")]
     Twice(Box<str>),
-    /// A key would decide for either of two workspaces.
+    /// A key belongs to two workspaces, so it would not identify one.
     #[error("workspaces {0:?} and {1:?} share a key")]
     SharedKey(Box<str>, Box<str>),
 }
@@ -81,9 +81,9 @@
     list: Vec<Workspace>,
     /// Sorted by digest, each with the index of its workspace.
     keys: Vec<(KeyDigest, u32)>,
-    /// The most urgent rank of those that have one.
+    /// The most urgent rank of the workspaces that have one.
     first_rank: Option<u8>,
-    /// Whether some leave requests the rank of their route.
+    /// Whether some workspaces keep the rank of the route.
     any_unranked: bool,
 }
 
@@ -121,7 +121,7 @@
         self.list.get(self.keys[i].1 as usize)
     }
 
-    /// The workspaces, by name.
+    /// All workspaces, sorted by name.
     pub fn all(&self) -> &[Workspace] {
         &self.list
     }
