--- a/crates/stair-fleet/benches/workspaces.rs
+++ b/crates/stair-fleet/benches/workspaces.rs
@@ -12,8 +12,8 @@
 
 use stair_fleet::{
     quota::{
-        Ledger, //
-        Request,
+        Ledger,
+        Request, //
     },
     workspace::{
         Declared,
@@ -27,7 +27,7 @@
 
 const ROUNDS: u32 = 200_000;
 
-const ALLOWANCE: Quota = Quota {
+const QUOTA: Quota = Quota {
     per_s: 29_000.0,
     burst: 29_000.0,
     unit: Unit::Tokens { plain: 200.0 },
@@ -42,7 +42,7 @@
         workspace: Workspace {
             name: format!("workspace-{n}").into(),
             rank: None,
-            quota: Some(ALLOWANCE),
+            quota: Some(QUOTA),
         },
         keys: vec![KeyDigest::of(key(n).as_bytes())],
     };
@@ -65,31 +65,31 @@
     for count in [16, 1_000, 16_000] {
         let workspaces = workspaces(count);
         let keys: Vec<String> = (0..count).map(key).collect();
-        let by_key = each(|n| {
+        let key_ns = each(|n| {
             let key = &keys[(n % count) as usize];
             black_box(workspaces.by_key(&KeyDigest::of(key.as_bytes())));
         });
         let mut ledger = Ledger::default();
-        let asks: Vec<Request> = workspaces
+        let requests: Vec<Request> = workspaces
             .all()
             .iter()
             .map(|w| Request {
                 workspace: w.name.clone(),
                 version: 1,
-                quota: ALLOWANCE,
+                quota: QUOTA,
                 cost: 200.0,
                 max_wait: Duration::ZERO,
                 admitted: false,
                 stand_in: false,
             })
             .collect();
-        for request in &asks {
+        for request in &requests {
             ledger.handle(request, Duration::ZERO);
         }
-        let by_ask = each(|n| {
+        let quota_ns = each(|n| {
             let now = Duration::from_micros(n.into());
-            black_box(ledger.handle(&asks[(n % count) as usize], now));
+            black_box(ledger.handle(&requests[(n % count) as usize], now));
         });
-        println!("{count:10}  {by_key:6.0}  {by_ask:12.0}");
+        println!("{count:10}  {key_ns:6.0}  {quota_ns:12.0}");
     }
 }
--- a/crates/stair-fleet/src/view.rs
+++ b/crates/stair-fleet/src/view.rs
@@ -23,8 +23,8 @@
         Target, //
     }, //
     target_state::{
-        TargetState, //
-        UNRESPONSIVE_TIMEOUT,
+        TargetState,
+        UNRESPONSIVE_TIMEOUT, //
     },
 };
 
--- a/crates/stair-fleet/tests/balance.rs
+++ b/crates/stair-fleet/tests/balance.rs
@@ -15,10 +15,10 @@
 use support::{
     NOW,
     SERVICE,
+    apply_report,
     engine,
     fleet,
     report,
-    tell,
     used, //
 };
 
@@ -98,48 +98,48 @@
 /// crowds the other one would be undone by the next look, and both models' prompts would be read
 /// anew each time; the fleet comes to rest instead.
 #[test]
-fn comes_to_rest() {
+fn converges() {
     let disk = ["a", "b", "c", "d"];
     let rates = [("a", 10.0), ("b", 8.0), ("c", 5.0), ("d", 3.0)];
-    let mut held: Vec<Vec<&str>> = vec![vec!["a", "b"], vec!["c"], vec!["d"], vec![], vec![]];
+    let mut loaded: Vec<Vec<&str>> = vec![vec!["a", "b"], vec!["c"], vec!["d"], vec![], vec![]];
     let mut moves = 0;
     loop {
-        let view = at_rates(&held, &disk, &rates);
+        let view = at_rates(&loaded, &disk, &rates);
         let Some((model, at)) = next(&view.0) else {
             break;
         };
         let i = view.1.iter().position(|k| *k == at.key).expect("listed");
-        held[i].retain(|m| !at.victims.iter().any(|v| **v == **m));
-        held[i].push(*disk.iter().find(|m| ***m == *model).expect("declared"));
+        loaded[i].retain(|m| !at.victims.iter().any(|v| **v == **m));
+        loaded[i].push(*disk.iter().find(|m| ***m == *model).expect("declared"));
         moves += 1;
-        assert!(moves < 20, "it never comes to rest: {held:?}");
+        assert!(moves < 20, "the moves never end: {loaded:?}");
     }
-    let busiest = held
+    let busiest = loaded
         .iter()
-        .map(|h| load(h, &held, &rates))
+        .map(|h| load(h, &loaded, &rates))
         .fold(0.0, f64::max);
-    assert!(busiest < 8.0, "{held:?}");
+    assert!(busiest < 8.0, "{loaded:?}");
 }
 
-fn replicas(held: &[Vec<&str>], model: &str) -> f64 {
-    held.iter().filter(|h| h.contains(&model)).count() as f64
+fn replicas(loaded: &[Vec<&str>], model: &str) -> f64 {
+    loaded.iter().filter(|h| h.contains(&model)).count() as f64
 }
 
-fn load(here: &[&str], held: &[Vec<&str>], rates: &[(&str, f64)]) -> f64 {
+fn load(here: &[&str], loaded: &[Vec<&str>], rates: &[(&str, f64)]) -> f64 {
     let share = |m: &&&str| {
         let rate = rates.iter().find(|(name, _)| *name == **m);
-        rate.map_or(0.0, |(_, r)| r / replicas(held, m))
+        rate.map_or(0.0, |(_, r)| r / replicas(loaded, m))
     };
     here.iter().map(|m| share(&m)).sum()
 }
 
-fn at_rates(held: &[Vec<&str>], disk: &[&str], rates: &[(&str, f64)]) -> (View, Vec<TargetKey>) {
-    let reports: Vec<Report> = held
+fn at_rates(loaded: &[Vec<&str>], disk: &[&str], rates: &[(&str, f64)]) -> (View, Vec<TargetKey>) {
+    let reports: Vec<Report> = loaded
         .iter()
         .map(|h| {
             let mut r = report(h, disk);
             for (model, rate) in rates.iter().filter(|(m, _)| h.contains(m)) {
-                r = used(r, model, (rate / replicas(held, model)) as f32, 1);
+                r = used(r, model, (rate / replicas(loaded, model)) as f32, 1);
             }
             r
         })
@@ -162,7 +162,7 @@
         remaining: support::ms(500),
         slowdown: 0.0,
     });
-    tell(&mut view, 1, loading);
+    apply_report(&mut view, 1, loading);
     assert_eq!(next(&view), None);
     assert_eq!(keys.len(), 2);
 }
@@ -170,7 +170,7 @@
 /// Short prompts: 20 requests a second take a tenth of one engine's time. A further replica would gain
 /// them next to nothing, and the rare model that made way for it would be missed.
 #[test]
-fn light_work_stays() {
+fn light_load_needs_no_replica() {
     let mut busy = used(report(&["a"], &["a"]), "a", 20.0, 20);
     busy.load.usage[0].prefill_fraction = 0.1;
     let rare = used(used(report(&["b", "c"], &["a"]), "b", 0.6, 0), "c", 0.6, 0);
--- a/crates/stair-fleet/tests/budget.rs
+++ b/crates/stair-fleet/tests/budget.rs
@@ -67,7 +67,7 @@
 /// tenth of the shared part, all together would make three times the retries that targets are to get
 /// when most of them fail.
 #[test]
-fn more_entries_than_said() {
+fn more_entries_than_configured() {
     let mut sent = 0;
     for _ in 0..30 {
         let mut budget = Budget::new(Options {
@@ -83,7 +83,7 @@
 
 /// An agent is cut off from most entries and tells the rest that they are few.
 #[test]
-fn few_heard_by_one_agent() {
+fn few_entries_at_one_agent() {
     assert_eq!(entries(10, [30, 3]), 60);
     assert_eq!(entries(10, [3]), 10, "no fewer than the settings say");
     assert_eq!(entries(10, []), 10);
--- a/crates/stair-fleet/tests/choose.rs
+++ b/crates/stair-fleet/tests/choose.rs
@@ -19,9 +19,9 @@
 use support::{
     NOW,
     SERVICE,
-    ask,
     fleet,
     ms,
+    options,
     report,
     target, //
 };
@@ -29,8 +29,8 @@
 #[test]
 fn holds_the_model() {
     let (view, keys) = fleet(vec![report(&["a"], &[]), report(&["b"], &[])]);
-    assert_eq!(choose(&view, &ask("b"), NOW).expect("one").key, keys[1]);
-    assert_eq!(choose(&view, &ask("c"), NOW), None);
+    assert_eq!(choose(&view, &options("b"), NOW).expect("one").key, keys[1]);
+    assert_eq!(choose(&view, &options("c"), NOW), None);
 }
 
 /// One replica reads a long queue of prompts while the other is idle. A request sent to the first
@@ -40,13 +40,13 @@
     let mut busy = report(&["a"], &[]);
     busy.load.backlog = ms(600);
     let (view, keys) = fleet(vec![busy, report(&["a"], &[])]);
-    assert_eq!(choose(&view, &ask("a"), NOW).expect("one").key, keys[1]);
+    assert_eq!(choose(&view, &options("a"), NOW).expect("one").key, keys[1]);
 }
 
 /// Requests with the same head of a prompt meet at one replica, from any entry, so that it is read
 /// once; but not when that replica's queue costs more than reading it anew.
 #[test]
-fn same_head_same_replica() {
+fn same_prefix_same_replica() {
     let reports = vec![
         report(&["a"], &[]),
         report(&["a"], &[]),
@@ -55,35 +55,35 @@
     let (mut view, _) = fleet(reports);
     let opts = Options {
         shared: Some((6000, 42)),
-        ..ask("a")
+        ..options("a")
     };
-    let home = choose(&view, &opts, NOW).expect("one").key;
+    let preferred = choose(&view, &opts, NOW).expect("one").key;
     for _ in 0..10 {
-        assert_eq!(choose(&view, &opts, NOW).expect("one").key, home);
+        assert_eq!(choose(&view, &opts, NOW).expect("one").key, preferred);
     }
-    view.get_mut(home).prefill_until = NOW + ms(1500);
-    assert_ne!(choose(&view, &opts, NOW).expect("one").key, home);
+    view.get_mut(preferred).prefill_until = NOW + ms(1500);
+    assert_ne!(choose(&view, &opts, NOW).expect("one").key, preferred);
 }
 
 /// A target leaves: its announcement says so before it is gone. A request sent to it after that
 /// would be lost with it.
 #[test]
-fn not_to_the_leaving() {
+fn not_to_a_draining_target() {
     let (mut view, keys) = fleet(vec![report(&["a"], &[])]);
-    assert!(choose(&view, &ask("a"), NOW).is_some());
-    let mut leaving = view.get(keys[0]).target.clone();
-    leaving.state = State::Draining(Some(ms(2000)));
-    view.put(leaving, NOW);
-    assert_eq!(choose(&view, &ask("a"), NOW), None);
+    assert!(choose(&view, &options("a"), NOW).is_some());
+    let mut draining = view.get(keys[0]).target.clone();
+    draining.state = State::Draining(Some(ms(2000)));
+    view.put(draining, NOW);
+    assert_eq!(choose(&view, &options("a"), NOW), None);
 }
 
 /// An agent reports that its engine no longer answers, seconds before the list drops it.
 #[test]
-fn not_to_the_dead() {
+fn not_to_a_dead_engine() {
     let mut dead = report(&["a"], &[]);
     dead.load.alive = false;
     let (view, keys) = fleet(vec![dead, report(&["a"], &[])]);
-    assert_eq!(choose(&view, &ask("a"), NOW).expect("one").key, keys[1]);
+    assert_eq!(choose(&view, &options("a"), NOW).expect("one").key, keys[1]);
 }
 
 /// An agent dies and its engine lives. The engine's own announcement still says what it holds, so
@@ -95,7 +95,10 @@
     announced.inventory = support::inventory(&["a"], &[]);
     view.put(announced, NOW);
     let later = NOW + Duration::from_secs(10);
-    assert_eq!(choose(&view, &ask("a"), later).expect("one").key, keys[0]);
+    assert_eq!(
+        choose(&view, &options("a"), later).expect("one").key,
+        keys[0]
+    );
 }
 
 /// A connection to the only target failed a moment ago. It is left out while another can take the
@@ -104,13 +107,13 @@
 fn suspects_last() {
     let (mut view, keys) = fleet(vec![report(&["a"], &[])]);
     view.get_mut(keys[0]).suspect_until = NOW + SUSPECT_DURATION;
-    assert_eq!(choose(&view, &ask("a"), NOW), None);
+    assert_eq!(choose(&view, &options("a"), NOW), None);
     let opts = Options {
         suspects: true,
-        ..ask("a")
+        ..options("a")
     };
     assert_eq!(choose(&view, &opts, NOW).expect("one").key, keys[0]);
-    assert!(choose(&view, &ask("a"), NOW + SUSPECT_DURATION).is_some());
+    assert!(choose(&view, &options("a"), NOW + SUSPECT_DURATION).is_some());
 }
 
 /// One of three plain targets fails half of its requests while it says that it is well. Its share
@@ -121,7 +124,7 @@
     view.replace((0..3).map(|n| target(n, SERVICE)).collect(), 1, NOW, NOW);
     let opts = Options {
         model: None,
-        ..ask("")
+        ..options("")
     };
     let first = choose(&view, &opts, NOW).expect("one").key;
     for _ in 0..5 {
@@ -150,10 +153,10 @@
     let (mut view, keys) = fleet(vec![loading, other]);
     let opts = Options {
         adapter: Some("a1"),
-        ..ask("a")
+        ..options("a")
     };
     assert_eq!(choose(&view, &opts, NOW).expect("one").key, keys[1]);
-    assert_eq!(choose(&view, &ask("a"), NOW).expect("one").key, keys[0]);
+    assert_eq!(choose(&view, &options("a"), NOW).expect("one").key, keys[0]);
     let (report, _) = view.get_mut(keys[0]).report.as_mut().expect("reported");
     report.inventory.models = vec![LoadedModel {
         name: "a".into(),
@@ -173,7 +176,7 @@
         let opts = Options {
             model: None,
             salt,
-            ..ask("")
+            ..options("")
         };
         let key = choose(&view, &opts, NOW).expect("one").key;
         let id = &view.get(key).target.id;
--- a/crates/stair-fleet/tests/cold_start.rs
+++ b/crates/stair-fleet/tests/cold_start.rs
@@ -21,11 +21,11 @@
 use support::{
     NOW,
     SERVICE,
-    ask,
     engine,
     fetching,
     fleet,
     ms,
+    options,
     report,
     used, //
 };
@@ -37,7 +37,7 @@
         report(&[], &["a"]),
         report(&["b", "c"], &["a"]),
     ]);
-    let at = choose(&view, SERVICE, &engine(), "a", &[], NOW).expect("a place");
+    let at = choose(&view, SERVICE, &engine(), "a", &[], NOW).expect("a placement");
     assert_eq!((at.key, at.from), (keys[1], CopyLocation::Disk));
     assert!(at.victims.is_empty());
 }
@@ -45,10 +45,10 @@
 /// A rare model has to make a busy one or an idle one go. If the busy one went, its requests would
 /// all wait for a swap.
 #[test]
-fn idle_ones_make_way() {
+fn idle_models_are_evicted() {
     let full = used(used(report(&["b", "c"], &["a"]), "b", 6.0, 4), "c", 0.1, 0);
     let (view, _) = fleet(vec![full]);
-    let at = choose(&view, SERVICE, &engine(), "a", &[], NOW).expect("a place");
+    let at = choose(&view, SERVICE, &engine(), "a", &[], NOW).expect("a placement");
     assert_eq!(at.victims, vec!["c".into()]);
 }
 
@@ -57,22 +57,22 @@
 /// ended; a request that was sent there for a load of 0.8 s waited four.
 #[test]
 fn waits_for_the_longest_stream() {
-    let crowded = used(used(report(&["b", "c"], &["a"]), "b", 0.1, 8), "c", 0.1, 8);
-    let quiet = used(used(report(&["d", "e"], &["a"]), "d", 0.6, 1), "e", 0.6, 1);
-    let (view, keys) = fleet(vec![crowded, quiet]);
-    let at = choose(&view, SERVICE, &engine(), "a", &[], NOW).expect("a place");
+    let busy = used(used(report(&["b", "c"], &["a"]), "b", 0.1, 8), "c", 0.1, 8);
+    let lightly_used = used(used(report(&["d", "e"], &["a"]), "d", 0.6, 1), "e", 0.6, 1);
+    let (view, keys) = fleet(vec![busy, lightly_used]);
+    let at = choose(&view, SERVICE, &engine(), "a", &[], NOW).expect("a placement");
     assert_eq!(at.key, keys[1]);
     assert!(at.ready_in >= ms(800 + 700), "{:?}", at.ready_in);
 }
 
 /// A spare replica goes before the last one of a model.
 #[test]
-fn spare_replicas_make_way() {
+fn redundant_replicas_are_evicted() {
     let (view, keys) = fleet(vec![
         used(report(&["b", "c"], &["a"]), "b", 0.2, 0),
         used(report(&["b", "d"], &["a"]), "b", 0.2, 0),
     ]);
-    let at = choose(&view, SERVICE, &engine(), "a", &[], NOW).expect("a place");
+    let at = choose(&view, SERVICE, &engine(), "a", &[], NOW).expect("a placement");
     assert!(keys.contains(&at.key));
     assert_eq!(at.victims, vec!["b".into()]);
 }
@@ -81,7 +81,7 @@
 /// each took its replica for the one that can be spared, none would be left, and all its requests
 /// would be refused until it is back (seen: 20 requests a second for four seconds).
 #[test]
-fn one_replica_is_spare() {
+fn one_replica_is_redundant() {
     let full = |rare| {
         used(
             used(report(&["b", rare], &["a"]), "b", 0.8, 0),
@@ -93,11 +93,11 @@
     let (view, keys) = fleet(vec![full("c"), full("d")]);
     let victims = |tried: usize| {
         let at = choose(&view, SERVICE, &engine(), "a", &[keys[tried]], NOW);
-        at.expect("a place").victims
+        at.expect("a placement").victims
     };
-    let spared = [victims(0), victims(1)].concat();
-    let busy = spared.iter().filter(|v| ***v == *"b").count();
-    assert_eq!(busy, 1, "{spared:?}");
+    let evicted = [victims(0), victims(1)].concat();
+    let busy = evicted.iter().filter(|v| ***v == *"b").count();
+    assert_eq!(busy, 1, "{evicted:?}");
 }
 
 /// A model is on its way to an engine. A second request for it joins that load.
@@ -111,7 +111,7 @@
         slowdown: 0.0,
     });
     let (view, keys) = fleet(vec![report(&[], &["a"]), loading]);
-    let at = choose(&view, SERVICE, &engine(), "a", &[], NOW).expect("a place");
+    let at = choose(&view, SERVICE, &engine(), "a", &[], NOW).expect("a placement");
     assert_eq!((at.key, at.ready_in), (keys[1], ms(300)));
 }
 
@@ -144,7 +144,7 @@
 /// Before traffic the engines' memory is half empty. Models that lie on a disk are brought in where
 /// there is room, one an engine at a time, and nothing makes way for them.
 #[test]
-fn fills_spare_room() {
+fn fills_free_memory() {
     let (view, keys) = fleet(vec![
         report(&["b"], &["a", "b"]),
         report(&["c", "d"], &["e"]),
@@ -163,12 +163,12 @@
     } = prefetch::next(&known.0, SERVICE, &engine(), &[], NOW).expect("a load");
     assert_eq!((&*model, at.key), ("a", known.1[0]));
     assert!(at.victims.is_empty());
-    let asked = prefetch::RequestedLoad {
+    let requested = prefetch::RequestedLoad {
         key: known.1[0],
         model: "a".into(),
     };
-    let none = prefetch::next(&known.0, SERVICE, &engine(), &[asked], NOW);
-    assert_eq!(none, None, "an engine that was asked is left alone");
+    let none = prefetch::next(&known.0, SERVICE, &engine(), &[requested], NOW);
+    assert_eq!(none, None, "an engine with a requested load is excluded");
     assert_eq!(keys.len(), 2);
 }
 
@@ -193,21 +193,21 @@
 /// all queued there until their deadlines; now those that would wait long have a further replica
 /// loaded, and what cannot be served in time is told so at once.
 #[test]
-fn slow_target_wakes_another() {
-    let mut crowded = report(&["a"], &["a"]);
-    crowded.load.backlog = ms(3000);
-    let (view, keys) = fleet(vec![crowded, report(&[], &["a"])]);
-    let best = stair_fleet::choose::choose(&view, &ask("a"), NOW).expect("one");
+fn slow_target_loads_another_replica() {
+    let mut busy = report(&["a"], &["a"]);
+    busy.load.backlog = ms(3000);
+    let (view, keys) = fleet(vec![busy, report(&[], &["a"])]);
+    let best = stair_fleet::choose::choose(&view, &options("a"), NOW).expect("one");
     let place = choose(&view, SERVICE, &engine(), "a", &[keys[0]], NOW);
     let objective = ms(800);
     let decision = decide(Some(&best), place.as_ref(), objective, ms(5000));
     assert_eq!(decision, Decision::Load);
     let alone = decide(Some(&best), None, objective, ms(5000));
     assert_eq!(alone, Decision::Send);
-    let hopeless = decide(Some(&best), None, objective, ms(1000));
-    assert_eq!(hopeless, Decision::Refuse);
+    let late = decide(Some(&best), None, objective, ms(1000));
+    assert_eq!(late, Decision::Refuse);
     let (idle, _) = fleet(vec![report(&["a"], &[])]);
-    let fast = stair_fleet::choose::choose(&idle, &ask("a"), NOW).expect("one");
+    let fast = stair_fleet::choose::choose(&idle, &options("a"), NOW).expect("one");
     let decision = decide(Some(&fast), place.as_ref(), objective, ms(5000));
     assert_eq!(decision, Decision::Send);
 }
@@ -222,7 +222,7 @@
     unloading.load.unloading = true;
     unloading.load.draining = vec!["a".into()];
     let (view, keys) = fleet(vec![unloading, report(&["b"], &["a"])]);
-    let at = choose(&view, SERVICE, &engine(), "a", &[], NOW).expect("a place");
+    let at = choose(&view, SERVICE, &engine(), "a", &[], NOW).expect("a placement");
     assert_eq!((at.key, at.from), (keys[1], CopyLocation::Disk));
 }
 
@@ -230,7 +230,7 @@
 /// The weight store makes few loads at once; were the rare models fetched first, the busy one would
 /// wait for them, several seconds in which each of its requests is late.
 #[test]
-fn crowded_before_missing() {
+fn overloaded_before_missing() {
     let all = ["a", "b", "c", "d"];
     let (view, keys) = fleet(vec![
         used(report(&["a"], &all), "a", 9.0, 9),
@@ -243,17 +243,20 @@
         (&*model, at.key, at.from),
         ("a", keys[1], CopyLocation::Store)
     );
-    let asked = prefetch::RequestedLoad { key: at.key, model };
-    let then = prefetch::next(&view, SERVICE, &engine(), &[asked], NOW);
+    let requested = prefetch::RequestedLoad { key: at.key, model };
+    let then = prefetch::next(&view, SERVICE, &engine(), &[requested], NOW);
     let fetched = then.filter(|o| o.place.from == CopyLocation::Store);
-    assert_eq!(fetched, None, "the one engine is asked, the other is busy");
+    assert_eq!(
+        fetched, None,
+        "one engine has a requested load, the other is busy"
+    );
 }
 
 /// A load that was asked for shows in a report only once its engine has made room. Until then the
 /// same model was asked for again at another engine, and two of four loads went to a model that
 /// hardly anyone asked for.
 #[test]
-fn asked_once() {
+fn requested_once() {
     let (view, _) = fleet(vec![
         report(&["a"], &["a", "b", "c", "d", "e"]),
         report(&["b"], &["a", "b", "c", "d", "e"]),
@@ -262,8 +265,8 @@
         model, place: at, ..
     } = prefetch::next(&view, SERVICE, &engine(), &[], NOW).expect("a load");
     assert_eq!((&*model, at.from), ("f", CopyLocation::Store));
-    let asked = prefetch::RequestedLoad { key: at.key, model };
-    let then = prefetch::next(&view, SERVICE, &engine(), &[asked], NOW);
+    let requested = prefetch::RequestedLoad { key: at.key, model };
+    let then = prefetch::next(&view, SERVICE, &engine(), &[requested], NOW);
     let again = then.filter(|o| *o.model == *"f");
     assert_eq!(again, None);
 }
@@ -302,22 +305,22 @@
 /// the model, not yet. Fetching it from the weight store at once takes six seconds and keeps the store
 /// busy; half a second later the copy is known. An agent that stays silent does not hold it up.
 #[test]
-fn copies_not_heard_of_yet() {
+fn copies_not_reported_yet() {
     let (mut view, keys) = fleet(vec![report(&[], &[]), report(&[], &["a"])]);
-    let young = ms(700);
+    let early = ms(700);
     for n in 0..2 {
         view.drop_report_at(support::addr(n));
     }
-    view.set_inventory_at(support::addr(0), support::inventory(&[], &[]), young);
-    view.set_load_at(support::addr(0), report(&[], &[]).load, young);
-    let found = find(&view, SERVICE, &engine(), "a", &[], young);
+    view.set_inventory_at(support::addr(0), support::inventory(&[], &[]), early);
+    view.set_load_at(support::addr(0), report(&[], &[]).load, early);
+    let found = find(&view, SERVICE, &engine(), "a", &[], early);
     assert_eq!(found, Err(Error::MissingReports));
-    assert_eq!(prefetch::next(&view, SERVICE, &engine(), &[], young), None);
-    let older = ms(2600);
-    let found = find(&view, SERVICE, &engine(), "a", &[], older).expect("a place");
+    assert_eq!(prefetch::next(&view, SERVICE, &engine(), &[], early), None);
+    let later = ms(2600);
+    let found = find(&view, SERVICE, &engine(), "a", &[], later).expect("a placement");
     assert_eq!((found.key, found.from), (keys[0], CopyLocation::Store));
-    view.set_inventory_at(support::addr(1), support::inventory(&[], &["a"]), young);
-    view.set_load_at(support::addr(1), report(&[], &[]).load, young);
-    let found = find(&view, SERVICE, &engine(), "a", &[], young).expect("a place");
+    view.set_inventory_at(support::addr(1), support::inventory(&[], &["a"]), early);
+    view.set_load_at(support::addr(1), report(&[], &[]).load, early);
+    let found = find(&view, SERVICE, &engine(), "a", &[], early).expect("a placement");
     assert_eq!((found.key, found.from), (keys[1], CopyLocation::Disk));
 }
--- a/crates/stair-fleet/tests/events.rs
+++ b/crates/stair-fleet/tests/events.rs
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn cut_anywhere() {
+fn split_anywhere() {
     let text = "id: 1\ndata: a\n\nid:2\r\ndata: b\r\n\r\ndata: c\n\n";
     let (whole, inside) = all(&[text]);
     assert_eq!(whole.len(), 3);
@@ -37,7 +37,7 @@
 /// An engine crashes in the middle of an event. If the half were passed on, the client would read
 /// it joined with the next event after a resume, as garbage.
 #[test]
-fn half_an_event() {
+fn incomplete_event() {
     let (events, inside) = all(&["id: 1\ndata: a\n\nid: 2\nda"]);
     assert_eq!(events.len(), 1);
     assert!(inside, "the rest is known to be incomplete");
--- a/crates/stair-fleet/tests/fetch.rs
+++ b/crates/stair-fleet/tests/fetch.rs
@@ -24,12 +24,12 @@
 };
 
 /// Loads that come as fast as an engine's link takes them: 60 GB in six seconds.
-fn by_link() -> Engine {
+fn fast_store() -> Engine {
     engine()
 }
 
 /// Loads that the weight store bounds: 60 GB in thirteen seconds.
-fn by_store() -> Engine {
+fn slow_store() -> Engine {
     let mut engine = engine();
     for model in &mut engine.models {
         model.from_store = ms(13_200);
@@ -37,88 +37,89 @@
     engine
 }
 
-fn at_once(engine: &Engine, reports: Vec<Report>) -> usize {
+fn limit(engine: &Engine, reports: Vec<Report>) -> usize {
     let (view, _) = fleet(reports);
     fetch::concurrency_limit(&view, SERVICE, engine, NOW)
 }
 
-fn fetched(together: u32, times: f32) -> Report {
+fn fetched(concurrent: u32, slowdown: f32) -> Report {
     let mut report = report(&["a"], &["a"]);
     report.load.fetched = Some(Fetched {
-        concurrent: together,
-        slowdown: times,
+        concurrent: concurrent,
+        slowdown: slowdown,
     });
     report
 }
 
 #[test]
 fn before_any_load() {
-    assert_eq!(at_once(&by_link(), vec![]), 4);
-    assert_eq!(at_once(&by_store(), vec![]), 1);
+    assert_eq!(limit(&fast_store(), vec![]), 4);
+    assert_eq!(limit(&slow_store(), vec![]), 1);
 }
 
 /// The weight store serves one load at full speed, and four run. All of them end when the last of
 /// four in a row would, so the model that is needed most comes four times as late. The loads under
 /// way are late by then and show it, long before the first of them ends.
 #[test]
-fn late_loads_show_it() {
-    let late = |times| {
+fn delayed_loads_lower_the_limit() {
+    let delayed = |slowdown| {
         ["b", "c", "d", "e"]
-            .map(|m| fetching(m, ms(100), times))
+            .map(|m| fetching(m, ms(100), slowdown))
             .to_vec()
     };
-    assert_eq!(at_once(&by_link(), late(1.0)), 4);
-    assert_eq!(at_once(&by_link(), late(1.4)), 3);
-    assert_eq!(at_once(&by_link(), late(4.0)), 1);
+    assert_eq!(limit(&fast_store(), delayed(1.0)), 4);
+    assert_eq!(limit(&fast_store(), delayed(1.4)), 3);
+    assert_eq!(limit(&fast_store(), delayed(4.0)), 1);
 }
 
 /// What ended tells the same, also to an entry that has just started and saw none of it.
 #[test]
-fn ended_loads_show_it() {
-    assert_eq!(at_once(&by_link(), vec![fetched(2, 2.0)]), 1);
-    assert_eq!(at_once(&by_link(), vec![fetched(5, 1.25)]), 4);
+fn ended_loads_lower_the_limit() {
+    assert_eq!(limit(&fast_store(), vec![fetched(2, 2.0)]), 1);
+    assert_eq!(limit(&fast_store(), vec![fetched(5, 1.25)]), 4);
 }
 
 /// Loads that kept their time beside others let more begin, a few at a time.
 #[test]
-fn grows_by_proof() {
-    assert_eq!(at_once(&by_store(), vec![fetched(1, 1.0)]), 2);
-    assert_eq!(at_once(&by_store(), vec![fetched(2, 1.03)]), 4);
-    assert_eq!(at_once(&by_store(), vec![fetched(4, 1.03)]), 5);
+fn grows_with_loads_on_time() {
+    assert_eq!(limit(&slow_store(), vec![fetched(1, 1.0)]), 2);
+    assert_eq!(limit(&slow_store(), vec![fetched(2, 1.03)]), 4);
+    assert_eq!(limit(&slow_store(), vec![fetched(4, 1.03)]), 5);
 }
 
 /// An engine took long over a load beside which nothing ran: its own trouble, and no reason to have
 /// the others wait for each other.
 #[test]
-fn own_trouble_is_ignored() {
-    assert_eq!(at_once(&by_link(), vec![fetched(1, 3.0)]), 4);
+fn slow_load_alone_is_ignored() {
+    assert_eq!(limit(&fast_store(), vec![fetched(1, 3.0)]), 4);
 }
 
 /// Two loads run at full speed and three more begin, so that all five are late. What the first two
 /// tell would leave two of four places at the weight store unused for minutes.
 #[test]
 fn others_joined_later() {
-    let told = vec![fetched(2, 1.2), fetched(4, 1.0), fetched(5, 1.25)];
-    assert_eq!(at_once(&by_link(), told), 4);
+    let reported = vec![fetched(2, 1.2), fetched(4, 1.0), fetched(5, 1.25)];
+    assert_eq!(limit(&fast_store(), reported), 4);
 }
 
 /// One of the loads that are of use is left for a request that waits for it.
 #[test]
-fn one_is_kept_free() {
-    let ahead = |engine: &Engine| fetch::prefetch_limit(&View::default(), SERVICE, engine, NOW);
-    assert_eq!(ahead(&by_link()), 3);
-    assert_eq!(ahead(&by_store()), 1);
+fn one_load_is_reserved() {
+    let prefetch_limit =
+        |engine: &Engine| fetch::prefetch_limit(&View::default(), SERVICE, engine, NOW);
+    assert_eq!(prefetch_limit(&fast_store()), 3);
+    assert_eq!(prefetch_limit(&slow_store()), 1);
 }
 
-/// A store that serves `at_full_speed` loads: each load under way advances by its share.
+/// A store that serves `full_speed_loads` loads: each load under way advances by its share.
 struct Store {
-    at_full_speed: f64,
+    full_speed_loads: f64,
     declared: Duration,
     /// Loads to come, the most urgent first.
     queue: Vec<u32>,
     running: Vec<Running>,
-    ended: Vec<Ended>,
-    told: Vec<Report>,
+    ended: Vec<Done>,
+    reported: Vec<Report>,
 }
 
 /// A load under way.
@@ -126,61 +127,62 @@
     number: u32,
     since: Duration,
     /// How many ran when it began, itself among them.
-    together: u32,
+    concurrent: u32,
     /// Part of it that is left.
-    left: f64,
+    remaining: f64,
 }
 
-struct Ended {
+struct Done {
     number: u32,
     at: Duration,
 }
 
 impl Store {
     fn reports(&self, now: Duration) -> Vec<Report> {
-        let times = |since| (now - since).div_duration_f32(self.declared);
+        let slowdown = |since| (now - since).div_duration_f32(self.declared);
         let running = self.running.iter();
-        let running = running.map(|r| fetching("b", ms(100), times(r.since)));
-        running.chain(self.told.iter().cloned()).collect()
+        let running = running.map(|r| fetching("b", ms(100), slowdown(r.since)));
+        running.chain(self.reported.iter().cloned()).collect()
     }
 
     fn step(&mut self, engine: &Engine, by: Duration, now: Duration) {
-        while !self.queue.is_empty() && self.running.len() < at_once(engine, self.reports(now)) {
-            let together = self.running.len() as u32 + 1;
+        while !self.queue.is_empty() && self.running.len() < limit(engine, self.reports(now)) {
+            let concurrent = self.running.len() as u32 + 1;
             let number = self.queue.remove(0);
             self.running.push(Running {
                 number,
                 since: now,
-                together,
-                left: 1.0,
+                concurrent,
+                remaining: 1.0,
             });
         }
-        let share = (self.at_full_speed / self.running.len() as f64).min(1.0);
-        let pace = share * by.as_secs_f64() / self.declared.as_secs_f64();
+        let share = (self.full_speed_loads / self.running.len() as f64).min(1.0);
+        let progress = share * by.as_secs_f64() / self.declared.as_secs_f64();
         for load in &mut self.running {
-            load.left -= pace;
+            load.remaining -= progress;
         }
-        let (done, running): (Vec<_>, Vec<_>) = self.running.drain(..).partition(|l| l.left <= 0.0);
+        let (done, running): (Vec<_>, Vec<_>) =
+            self.running.drain(..).partition(|l| l.remaining <= 0.0);
         self.running = running;
         for load in done {
             let at = now + by;
-            let times = (at - load.since).div_duration_f32(self.declared);
-            self.told.push(fetched(load.together, times));
+            let slowdown = (at - load.since).div_duration_f32(self.declared);
+            self.reported.push(fetched(load.concurrent, slowdown));
             let number = load.number;
-            self.ended.push(Ended { number, at });
+            self.ended.push(Done { number, at });
         }
     }
 }
 
 /// Plays eight loads that are all wanted from the start, and returns when each ended, in seconds.
-fn play(engine: &Engine, at_full_speed: f64) -> Vec<u64> {
+fn simulate(engine: &Engine, full_speed_loads: f64) -> Vec<u64> {
     let mut store = Store {
-        at_full_speed,
+        full_speed_loads,
         declared: engine.models[0].from_store,
         queue: (0..8).collect(),
         running: Vec::new(),
         ended: Vec::new(),
-        told: Vec::new(),
+        reported: Vec::new(),
     };
     let by = ms(50);
     for n in 0..6000 {
@@ -194,16 +196,16 @@
 /// at full speed they come in a row; four at once had the first come after 53 s instead of 13.
 #[test]
 fn urgent_first_at_a_slow_store() {
-    let ends = play(&by_store(), 1.0);
+    let ends = simulate(&slow_store(), 1.0);
     assert!(ends[0] <= 14, "{ends:?}");
     assert!(ends[7] <= 8 * 14, "no more work than in a row: {ends:?}");
-    let early = ends.iter().filter(|t| **t <= 60).count();
-    assert!(early >= 3, "{ends:?}");
+    let in_time = ends.iter().filter(|t| **t <= 60).count();
+    assert!(in_time >= 3, "{ends:?}");
 }
 
 /// Where it serves four at full speed, four run from the start.
 #[test]
 fn four_where_four_run() {
-    let ends = play(&by_link(), 4.0);
+    let ends = simulate(&fast_store(), 4.0);
     assert!(ends[3] <= 7 && ends[7] <= 15, "{ends:?}");
 }
--- a/crates/stair-fleet/tests/lag.rs
+++ b/crates/stair-fleet/tests/lag.rs
@@ -10,7 +10,7 @@
     },
 };
 
-fn known(entry: &str, data_centre: &str, targets: u64) -> ReplicationState {
+fn state(entry: &str, data_centre: &str, targets: u64) -> ReplicationState {
     ReplicationState {
         entry: entry.into(),
         data_centre: data_centre.into(),
@@ -28,15 +28,15 @@
 /// a second. At nearly any moment the last word of each is older than that of some other. Were that a lag,
 /// each would fetch the whole list from a peer several times a second although its own watch brings it.
 #[test]
-fn late_words_are_no_lag() {
+fn old_reports_are_no_lag() {
     let mut lag = Lag::default();
     for at in 0..10_000_u64 {
         if at % 10 == 0 {
             let n = at / 10 % 100;
             // Watches bring news at their own moments, at most 600 ms old.
-            let behind = n * 37 % 600;
-            let word = known(&format!("e{n}"), "a", at.saturating_sub(behind) * 60 / 1000);
-            assert!(!lag.observe(&word, ms(at)), "e{n} at {at} ms");
+            let age = n * 37 % 600;
+            let report = state(&format!("e{n}"), "a", at.saturating_sub(age) * 60 / 1000);
+            assert!(!lag.observe(&report, ms(at)), "e{n} at {at} ms");
         }
     }
 }
@@ -44,12 +44,12 @@
 /// The store turns one entry away while it serves the others. It would send requests to targets that have
 /// said that they leave, and is told who is ahead within two seconds.
 #[test]
-fn entry_turned_away() {
+fn entry_rejected_by_the_store() {
     let mut lag = Lag::default();
     let mut noticed = None;
     for at in (0..4000_u64).step_by(10) {
-        lag.observe(&known("sound", "a", at), ms(at));
-        let stuck = known("stuck", "a", at.min(1000));
+        lag.observe(&state("sound", "a", at), ms(at));
+        let stuck = state("stuck", "a", at.min(1000));
         if at % 500 == 0 && lag.observe(&stuck, ms(at)) {
             noticed.get_or_insert(at);
         }
@@ -62,10 +62,10 @@
 #[test]
 fn one_watcher() {
     let all = vec![
-        known("d", "a", 1),
-        known("b", "b", 2),
-        known("c", "a", 3),
-        known("e", "b", 4),
+        state("d", "a", 1),
+        state("b", "b", 2),
+        state("c", "a", 3),
+        state("e", "b", 4),
     ];
     let watcher = |own: &ReplicationState| Peers::of(own, &all).watcher.map(|p| p.entry);
     let found: Vec<_> = all.iter().map(|k| watcher(k).expect("one")).collect();
--- a/crates/stair-fleet/tests/outlier.rs
+++ b/crates/stair-fleet/tests/outlier.rs
@@ -16,13 +16,13 @@
 };
 use support::{
     NOW,
-    ask,
+    options,
     target, //
 };
 
 const PLAIN: &str = "lookups";
 
-fn lookups() -> (View, Vec<TargetKey>) {
+fn plain_targets() -> (View, Vec<TargetKey>) {
     let mut view = View::default();
     view.replace((0..3).map(|n| target(n, PLAIN)).collect(), 1, NOW, NOW);
     let keys = view.all().map(|(key, _)| key).collect();
@@ -36,7 +36,7 @@
         model: None,
         tried,
         salt,
-        ..ask("")
+        ..options("")
     };
     choose(view, &opts, NOW).expect("a target").key
 }
@@ -46,7 +46,7 @@
 /// would wait there beside idle ones.
 #[test]
 fn requests_that_always_fail() {
-    let (mut view, keys) = lookups();
+    let (mut view, keys) = plain_targets();
     let mut got = vec![0; keys.len()];
     for n in 0..1000 {
         let first = pick(&view, &[], n);
@@ -70,7 +70,7 @@
 /// A target fails a request that another then serves: the target is to blame, and gets less.
 #[test]
 fn served_elsewhere() {
-    let (_, keys) = lookups();
+    let (_, keys) = plain_targets();
     let failed = &keys[..1];
     assert_eq!(
         outliers(&Options {
@@ -92,7 +92,7 @@
 /// A request that may not run again fails: nothing speaks for the target.
 #[test]
 fn failed_alone() {
-    let (_, keys) = lookups();
+    let (_, keys) = plain_targets();
     let failed = &keys[..1];
     assert_eq!(
         outliers(&Options {
--- a/crates/stair-fleet/tests/prefetch.rs
+++ b/crates/stair-fleet/tests/prefetch.rs
@@ -32,7 +32,7 @@
 /// Several models have no copy left. Guards against a weight store that is busy with one that nobody asks for,
 /// while clients of another come back to the same rejection.
 #[test]
-fn most_rejected_first() {
+fn most_refused_first() {
     let (view, _) = fleet(vec![
         unserved(report(&["a"], &[]), &[("e", 0.4)]),
         unserved(report(&["b"], &[]), &[("d", 0.5), ("e", 0.3)]),
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn not_beyond_the_store() {
+fn not_beyond_the_limit() {
     let (view, _) = fleet(vec![
         unserved(report(&["a", "b"], &[]), &[("e", 0.4)]),
         fetching("c", ms(5000), 0.1),
--- a/crates/stair-fleet/tests/prefill.rs
+++ b/crates/stair-fleet/tests/prefill.rs
@@ -17,12 +17,12 @@
 }
 
 /// A prompt of a shared head and a part of its own.
-fn prompt(head: u64, own: u64) -> Request {
+fn prompt(prefix: u64, own: u64) -> Request {
     Request {
         model: "a".into(),
         blocks: vec![
             PrefixBlock {
-                chain: head,
+                chain: prefix,
                 tokens: 6300,
             },
             PrefixBlock {
@@ -38,8 +38,8 @@
     }
 }
 
-fn reserve(prefills: &mut Schedule, head: u64, own: u64, now: Duration) -> Reply {
-    prefills.reserve(&prompt(head, own), MEMORY, now)
+fn reserve(prefills: &mut Schedule, prefix: u64, own: u64, now: Duration) -> Reply {
+    prefills.reserve(&prompt(prefix, own), MEMORY, now)
 }
 
 /// Ten prompts with different heads come at once to an engine where streams run. Sent at once they
@@ -75,7 +75,7 @@
 
 /// Prompts with a head that the engine has read need a third of the time; more of them go.
 #[test]
-fn kept_heads_are_cheap() {
+fn cached_prefixes_are_cheap() {
     let mut prefills = Schedule::default();
     reserve(&mut prefills, 1, 100, ms(0));
     let same = reserve(&mut prefills, 1, 101, ms(1000));
@@ -93,7 +93,7 @@
 /// The engine unloads a model or restarts: what it had read is gone. Prompts that were taken for kept
 /// would be let through three times as fast as they can be read.
 #[test]
-fn kept_until_unloaded() {
+fn cached_until_unloaded() {
     let mut prefills = Schedule::default();
     reserve(&mut prefills, 1, 100, ms(0));
     prefills.unloaded("b");
@@ -106,7 +106,7 @@
 
 /// Memory is bounded: the heads used least lately are taken for gone.
 #[test]
-fn least_used_yield() {
+fn least_recently_used_blocks_are_dropped() {
     let mut prefills = Schedule::default();
     for n in 0..100 {
         reserve(&mut prefills, n, 1000 + n, ms(1000 * n));
@@ -118,7 +118,7 @@
 /// A prompt whose turn would come too late is told so at once, takes nobody's slot, and can go
 /// elsewhere while there is time.
 #[test]
-fn too_late_is_not_booked() {
+fn late_slot_is_not_reserved() {
     let mut prefills = Schedule::default();
     for n in 0..5 {
         reserve(&mut prefills, n, 100 + n, ms(0));
@@ -137,17 +137,17 @@
 /// that can wait for 600 ms. Had one of the others booked the next slot, which is within what it may book for,
 /// the urgent one would be refused and the other one served.
 #[test]
-fn less_urgent_leaves_room() {
+fn less_urgent_leaves_capacity() {
     let mut prefills = Schedule::default();
-    let calm = |n| Request {
+    let less_urgent = |n| Request {
         max_wait: ms(400),
         urgent_max_wait: Some(ms(600)),
         pause: Some(ms(400)),
         ..prompt(n, 100 + n)
     };
-    assert!(prefills.reserve(&calm(0), MEMORY, ms(1000)).reserved);
+    assert!(prefills.reserve(&less_urgent(0), MEMORY, ms(1000)).reserved);
     for n in 1..5 {
-        assert!(!prefills.reserve(&calm(n), MEMORY, ms(1001)).reserved);
+        assert!(!prefills.reserve(&less_urgent(n), MEMORY, ms(1001)).reserved);
     }
     let urgent = Request {
         max_wait: ms(590),
@@ -156,7 +156,7 @@
     };
     assert!(prefills.reserve(&urgent, MEMORY, ms(1010)).reserved);
     // With nothing before it, one goes however long it is.
-    assert!(prefills.reserve(&calm(5), MEMORY, ms(3000)).reserved);
+    assert!(prefills.reserve(&less_urgent(5), MEMORY, ms(3000)).reserved);
 }
 
 /// A prompt longer than what may be read on end goes once nothing is before it; it must not wait for
@@ -214,13 +214,13 @@
     fn step(&mut self) -> Vec<Measurement> {
         const CHUNK: f64 = 4096.0;
         const TOKEN_MS: f64 = 6.0;
-        let mut room = CHUNK;
+        let mut budget = CHUNK;
         for prompt in self.prompts.iter_mut().filter(|p| p.at_ms <= self.now) {
-            let read = prompt.left.min(room);
+            let read = prompt.left.min(budget);
             prompt.left -= read;
-            room -= read;
+            budget -= read;
         }
-        self.now += TOKEN_MS + (CHUNK - room) / self.tokens_per_ms;
+        self.now += TOKEN_MS + (CHUNK - budget) / self.tokens_per_ms;
         let done = self.prompts.iter().filter(|p| p.left <= 0.0);
         let done = done
             .map(|p| Measurement {
@@ -244,7 +244,7 @@
 
 /// A prompt of 9,200 tokens every 300 ms, more than any engine reads, beside a stream whose events
 /// have four tokens and are promised every 600 ms. The first half is for learning.
-fn minute(tokens_per_ms: f64, learns: bool) -> Minute {
+fn minute(tokens_per_ms: f64, adapts: bool) -> Minute {
     let mut prefills = Schedule::default();
     let mut engine = Engine {
         tokens_per_ms,
@@ -258,7 +258,7 @@
     };
     let mut next: u32 = 0;
     while engine.now < 60_000.0 {
-        let counts = engine.now > 30_000.0;
+        let measured = engine.now > 30_000.0;
         let begun = engine.now;
         for _ in 0..4 {
             while f64::from(next) * 300.0 <= engine.now {
@@ -275,15 +275,15 @@
                         left: 9200.0,
                         prefill_time: reply.prefill_time,
                     });
-                    out.sent += usize::from(counts);
+                    out.sent += usize::from(measured);
                 }
             }
             let read = engine.step();
             read.into_iter()
-                .filter(|_| learns)
+                .filter(|_| adapts)
                 .for_each(|r| prefills.record(&r));
         }
-        if counts {
+        if measured {
             out.events += 1;
             out.late += usize::from(engine.now - begun > 600.0);
         }
@@ -362,7 +362,7 @@
 
 /// Short prompts say nothing of the rate: the way there takes as long as reading them.
 #[test]
-fn short_prompts_tell_nothing() {
+fn short_prompts_are_no_samples() {
     let mut prefills = Schedule::default();
     let before = prefills.rate("a");
     for _ in 0..50 {
@@ -399,7 +399,7 @@
 /// it, or it shares more than it says. Its first event comes at once. Taken for a faster engine, prompts would
 /// come half as fast again as they can be read, and streams would pause beside them.
 #[test]
-fn kept_unknown_to_the_agent() {
+fn cached_without_the_agents_knowledge() {
     let mut prefills = Schedule::default();
     prefills.record(&read("a", 100, 20));
     for n in 0..300 {
@@ -415,7 +415,7 @@
 /// An engine turns slow and takes three times as long for every prompt. At the rate before, the prompts of a
 /// second would take three, and all streams would stall until their clients leave.
 #[test]
-fn engine_turns_slow() {
+fn engine_slows_down() {
     let mut prefills = Schedule::default();
     prefills.record(&read("a", 100, 20));
     for _ in 0..20 {
@@ -429,7 +429,7 @@
 /// minute, the request that finds no other engine would tell its client to come back after that, while
 /// its model is there again within a second.
 #[test]
-fn model_makes_way() {
+fn model_is_draining() {
     let req = Request {
         max_wait: ms(300),
         ..prompt(1, 100)
--- a/crates/stair-fleet/tests/quarantine_load.rs
+++ b/crates/stair-fleet/tests/quarantine_load.rs
@@ -23,13 +23,13 @@
 const TARGETS: usize = 18;
 /// Targets that hold the model that most requests ask for, the deadly ones among them.
 const REPLICAS: usize = 6;
-const DOWN: Duration = Duration::from_millis(2500);
+const RESTART_TIME: Duration = Duration::from_millis(2500);
 /// Time until the entries know that a target has ended.
-const FOUND: Duration = Duration::from_millis(30);
+const DETECTION_DELAY: Duration = Duration::from_millis(30);
 /// Tries of an ordinary client in all.
 const TRIES: u32 = 6;
-const CONTACT_TIME: Duration = Duration::from_secs(3);
-const DAY: Duration = Duration::from_secs(40);
+const MAX_CONTACT_TIME: Duration = Duration::from_secs(3);
+const DURATION: Duration = Duration::from_secs(40);
 
 /// Which requests are held back.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -56,10 +56,10 @@
     served: usize,
     failed: usize,
     /// Ordinary requests that were refused for what they did to targets.
-    wronged: usize,
+    wrongly_refused: usize,
     /// Runs of the worst deadly request.
     runs: usize,
-    /// Those that began later than [`CONTACT_TIME`] after its third crash.
+    /// Those that began later than [`MAX_CONTACT_TIME`] after its third crash.
     late: usize,
 }
 
@@ -101,7 +101,7 @@
     runs: Vec<Run>,
 }
 
-struct World {
+struct Simulation {
     load: Load,
     rng: Rng,
     now: Duration,
@@ -111,11 +111,11 @@
     watchlist: Watchlist,
     /// Ends that have not been reported yet, and ledgers' looks.
     reports: Vec<(Duration, Crash)>,
-    looks: Vec<Duration>,
+    settle_at: Vec<Duration>,
     strikes: BTreeMap<Fingerprint, u32>,
     /// When each deadly request began to run, and when targets ended under it.
     begun: BTreeMap<usize, Vec<Duration>>,
-    ended: BTreeMap<usize, Vec<Duration>>,
+    crashed: BTreeMap<usize, Vec<Duration>>,
     outcome: Outcome,
 }
 
@@ -130,7 +130,7 @@
     .fingerprint()
 }
 
-impl World {
+impl Simulation {
     fn new(load: Load) -> Self {
         let mut waiting = Vec::new();
         for n in 0..load.deadly {
@@ -153,18 +153,18 @@
             ledger: Ledger::default(),
             watchlist: Watchlist::default(),
             reports: Vec::new(),
-            looks: Vec::new(),
+            settle_at: Vec::new(),
             strikes: BTreeMap::new(),
             begun: BTreeMap::new(),
-            ended: BTreeMap::new(),
+            crashed: BTreeMap::new(),
             outcome: Outcome::default(),
         }
     }
 
-    fn play(mut self) -> Outcome {
+    fn simulate(mut self) -> Outcome {
         let mut request = 1000;
         let mut next_series = self.load.series.map(|t| Duration::from_secs(3) + t);
-        while self.now < DAY {
+        while self.now < DURATION {
             self.now += STEP;
             if self.rng.below(100) < 40 {
                 request += 1;
@@ -185,13 +185,13 @@
                 (0..5).for_each(|n| self.crash((first + n * 3) % TARGETS));
             }
             self.run();
-            self.tell();
+            self.apply_report();
             self.send();
         }
         for (request, begun) in &self.begun {
-            let ended = self.ended.get(request);
-            let third = ended.and_then(|e| e.get(2)).copied().unwrap_or(DAY);
-            let late = begun.iter().filter(|t| **t > third + CONTACT_TIME);
+            let crashed = self.crashed.get(request);
+            let third = crashed.and_then(|e| e.get(2)).copied().unwrap_or(DURATION);
+            let late = begun.iter().filter(|t| **t > third + MAX_CONTACT_TIME);
             self.outcome.late = self.outcome.late.max(late.count());
             self.outcome.runs = self.outcome.runs.max(begun.len());
         }
@@ -212,8 +212,8 @@
                 continue;
             }
             let runs = std::mem::take(&mut self.targets[t].runs);
-            let (done, under_way): (Vec<_>, Vec<_>) = runs.into_iter().partition(due);
-            self.targets[t].runs = under_way;
+            let (done, running): (Vec<_>, Vec<_>) = runs.into_iter().partition(due);
+            self.targets[t].runs = running;
             for run in done {
                 self.survived(&run.client);
             }
@@ -234,7 +234,7 @@
         if target.back > self.now {
             return;
         }
-        target.back = self.now + DOWN;
+        target.back = self.now + RESTART_TIME;
         target.incarnation += 1;
         let incarnation = format!("{t}-{}", target.incarnation).into();
         let runs = std::mem::take(&mut target.runs);
@@ -249,13 +249,13 @@
                 })
                 .collect(),
         };
-        self.reports.push((self.now + FOUND, crash));
+        self.reports.push((self.now + DETECTION_DELAY, crash));
         for run in runs {
             let mut client = run.client;
             if client.deadly {
-                let ended = self.ended.entry(client.request).or_default();
-                ended.retain(|t| *t != self.now);
-                ended.push(self.now);
+                let crashed = self.crashed.entry(client.request).or_default();
+                crashed.retain(|t| *t != self.now);
+                crashed.push(self.now);
             }
             if run.trial {
                 self.ledger.end_trial(fingerprint(client.request), self.now);
@@ -270,7 +270,7 @@
     }
 
     /// Tells the ledger of ends, and the entries what it says.
-    fn tell(&mut self) {
+    fn apply_report(&mut self) {
         let now = self.now;
         let reports = std::mem::take(&mut self.reports);
         let (due, later): (Vec<_>, Vec<_>) = reports.into_iter().partition(|(at, _)| *at <= now);
@@ -280,10 +280,10 @@
             for run in &crash.runs {
                 *self.strikes.entry(run.fingerprint).or_default() += 1;
             }
-            self.looks.push(now + SETTLE_DELAY);
+            self.settle_at.push(now + SETTLE_DELAY);
         }
-        if self.looks.iter().any(|at| *at <= now) {
-            self.looks.retain(|at| *at > now);
+        if self.settle_at.iter().any(|at| *at <= now) {
+            self.settle_at.retain(|at| *at > now);
             for notice in self.ledger.settle(now) {
                 self.watchlist.apply(&notice, now);
             }
@@ -291,10 +291,10 @@
     }
 
     fn standing(&self, run: &Fingerprint) -> Option<Standing> {
-        let struck = self.strikes.get(run).is_some_and(|n| *n >= 3);
+        let has_three_strikes = self.strikes.get(run).is_some_and(|n| *n >= 3);
         match self.load.policy {
             Policy::Blame => self.watchlist.standing(run, self.now),
-            Policy::Strikes => struck.then_some(Standing::Quarantined(DAY)),
+            Policy::Strikes => has_three_strikes.then_some(Standing::Quarantined(DURATION)),
         }
     }
 
@@ -311,7 +311,7 @@
                     client.at = now + Duration::from_millis(500);
                     self.waiting.push(client);
                 } else {
-                    self.outcome.wronged += 1;
+                    self.outcome.wrongly_refused += 1;
                 }
                 continue;
             }
@@ -331,7 +331,7 @@
             if client.deadly {
                 self.begun.entry(client.request).or_default().push(now);
             }
-            let takes = match client.deadly {
+            let duration = match client.deadly {
                 true => self.rng.between(60, 250),
                 false => self.rng.between(100, 1800),
             };
@@ -339,33 +339,33 @@
                 client,
                 trial,
                 begun: now,
-                ends: now + takes,
+                ends: now + duration,
             });
         }
     }
 
     /// The least busy target that holds the model, as all clients see it.
     fn choose(&self, client: &Client) -> Option<usize> {
-        let held = match client.busy_model {
+        let replicas = match client.busy_model {
             true => 0..REPLICAS,
             false => {
                 let first = REPLICAS + client.request % (TARGETS - REPLICAS - 1);
                 first..first + 2
             }
         };
-        let up = held.filter(|t| self.targets[*t].back <= self.now);
+        let up = replicas.filter(|t| self.targets[*t].back <= self.now);
         up.min_by_key(|t| self.targets[*t].runs.len())
     }
 }
 
 /// Plays several seeds; what came of all of them, and of the worst where that is said.
-fn plays(load: Load) -> Outcome {
+fn simulate_seeds(load: Load) -> Outcome {
     let mut all = Outcome::default();
     for seed in 1..=SEEDS {
-        let one = World::new(Load { seed, ..load }).play();
+        let one = Simulation::new(Load { seed, ..load }).simulate();
         all.served += one.served;
         all.failed += one.failed;
-        all.wronged += one.wronged;
+        all.wrongly_refused += one.wrongly_refused;
         all.runs = all.runs.max(one.runs);
         all.late = all.late.max(one.late);
     }
@@ -389,18 +389,18 @@
 #[test]
 fn deadly_requests() {
     for deadly in [1, 2] {
-        let all = plays(Load { deadly, ..LOAD });
+        let all = simulate_seeds(Load { deadly, ..LOAD });
         assert!(all.late <= MAX_RETRIES);
-        assert_eq!(all.wronged, 0);
+        assert_eq!(all.wrongly_refused, 0);
     }
 }
 
 /// So many that the replicas are down for most of the time.
 #[test]
 fn four_deadly_requests() {
-    let all = plays(Load { deadly: 4, ..LOAD });
+    let all = simulate_seeds(Load { deadly: 4, ..LOAD });
     assert!(all.late <= MAX_RETRIES);
-    assert_eq!(all.wronged, 0);
+    assert_eq!(all.wrongly_refused, 0);
 }
 
 /// A quarter of the targets end at a time, again and again.
@@ -408,30 +408,30 @@
 fn series() {
     for pause in [1000, 2000, 4000] {
         let series = Some(Duration::from_millis(pause));
-        let all = plays(Load { series, ..LOAD });
-        assert_eq!(all.wronged, 0);
+        let all = simulate_seeds(Load { series, ..LOAD });
+        assert_eq!(all.wrongly_refused, 0);
     }
 }
 
 /// Both at once.
 #[test]
 fn deadly_requests_in_series() {
-    let all = plays(Load {
+    let all = simulate_seeds(Load {
         deadly: 2,
         series: Some(Duration::from_millis(2000)),
         ..LOAD
     });
     assert!(all.late <= MAX_RETRIES);
-    assert_eq!(all.wronged, 0);
+    assert_eq!(all.wrongly_refused, 0);
 }
 
 /// Counting to three refuses ordinary requests that share the deadly one's targets.
 #[test]
-fn strikes_wrong_bystanders() {
-    let all = plays(Load {
+fn strikes_refuse_ordinary_requests() {
+    let all = simulate_seeds(Load {
         policy: Policy::Strikes,
         deadly: 2,
         ..LOAD
     });
-    assert!(all.wronged > 0);
+    assert!(all.wrongly_refused > 0);
 }
--- a/crates/stair-fleet/tests/quota.rs
+++ b/crates/stair-fleet/tests/quota.rs
@@ -88,7 +88,7 @@
 
 /// Guards against what was let through before a process began, or by the one that it stands in for.
 #[test]
-fn nothing_saved_at_first() {
+fn no_credit_at_first() {
     let mut ledger = Ledger::default();
     let mut admitted = 0;
     while ledger.handle(&request(1, TOKENS, DRAFT), ms(0)).0.granted {
@@ -120,19 +120,19 @@
 }
 
 #[test]
-fn crossings_are_told_once() {
+fn crossings_are_reported_once() {
     let mut ledger = Ledger::default();
-    let told: Vec<_> = (0..6)
+    let reported: Vec<_> = (0..6)
         .filter_map(|_| ledger.handle(&request(1, TOKENS, DRAFT), ms(0)).1)
         .collect();
-    assert_eq!(told, [Crossing::Over]);
+    assert_eq!(reported, [Crossing::Over]);
     let (reply, crossing) = ledger.handle(&request(1, TOKENS, DRAFT), ms(5_000));
     assert!(reply.granted);
     assert_eq!(crossing, Some(Crossing::Under));
 }
 
 #[test]
-fn given_back() {
+fn refund_of_cost() {
     let mut ledger = Ledger::default();
     assert!(ledger.handle(&request(1, TOKENS, DRAFT), ms(0)).0.granted);
     ledger.refund("acme", DRAFT, ms(0));
@@ -149,17 +149,17 @@
 }
 
 /// Counts what is let through of half an allowance that comes unevenly to entries, by way of counting.
-fn let_through<F>(entries: u64, mut takes: F) -> u32
+fn count_admitted<F>(entries: u64, mut admits: F) -> u32
 where
     F: FnMut(u64, Duration) -> bool,
 {
     let gap = Duration::from_secs_f64(DRAFT / (TOKENS.per_s * 0.5));
-    let mut through = 0;
+    let mut admitted = 0;
     for n in 0..100 {
         let now = gap * n;
-        through += u32::from(takes(uneven(entries, u64::from(n)), now));
+        admitted += u32::from(admits(uneven(entries, u64::from(n)), now));
     }
-    through
+    admitted
 }
 
 /// A workspace asks for half of its allowance, most of it at one of 24 entries. Parts of the entries refuse
@@ -167,15 +167,17 @@
 #[test]
 fn uneven_demand() {
     let entries = 24;
-    let part = share(TOKENS, 24);
-    let mut parts: Vec<Bucket> = (0..entries).map(|_| Bucket::new(part, ms(0))).collect();
-    let by_parts = let_through(entries, |e, now| {
-        parts[e as usize].spend(DRAFT, ms(0), now).granted
+    let quota_share = share(TOKENS, 24);
+    let mut shares: Vec<Bucket> = (0..entries)
+        .map(|_| Bucket::new(quota_share, ms(0)))
+        .collect();
+    let by_shares = count_admitted(entries, |e, now| {
+        shares[e as usize].spend(DRAFT, ms(0), now).granted
     });
     let mut one = Bucket::new(TOKENS, ms(0));
-    let by_one = let_through(entries, |_, now| one.spend(DRAFT, ms(0), now).granted);
-    assert_eq!(by_one, 100);
-    assert!(by_parts < 50, "{by_parts} of 100 by parts");
+    let by_bucket = count_admitted(entries, |_, now| one.spend(DRAFT, ms(0), now).granted);
+    assert_eq!(by_bucket, 100);
+    assert!(by_shares < 50, "{by_shares} of 100 by shares");
 }
 
 /// What happens to a bucket.
@@ -186,22 +188,22 @@
         max_wait: u64,
     },
     /// A request that is given back before it is sent.
-    Undone {
+    Refund {
         cost: u32,
     },
     Pass(u64),
     /// The clock of the process stands still, so that a moment comes again.
-    Again,
-    Forget,
+    ClockStops,
+    DiscardCredit,
 }
 
 fn event() -> impl Strategy<Value = Event> {
     prop_oneof![
         (1..20_000_u32, 0..500_u64).prop_map(|(cost, max_wait)| Event::Spend { cost, max_wait }),
-        (1..20_000_u32).prop_map(|cost| Event::Undone { cost }),
+        (1..20_000_u32).prop_map(|cost| Event::Refund { cost }),
         (1..3_000_u64).prop_map(Event::Pass),
-        Just(Event::Again),
-        Just(Event::Forget),
+        Just(Event::ClockStops),
+        Just(Event::DiscardCredit),
     ]
 }
 
@@ -221,17 +223,17 @@
                         sent.push((now + reply.wait, cost));
                     }
                 }
-                Event::Undone { cost } => {
+                Event::Refund { cost } => {
                     let cost = f64::from(cost);
                     if bucket.spend(cost, ms(0), now).granted {
                         bucket.refund(cost, now);
                     }
                 }
                 Event::Pass(t) => now += ms(t),
-                Event::Again => {
+                Event::ClockStops => {
                     bucket.spend(0.0, ms(0), now.saturating_sub(ms(50)));
                 }
-                Event::Forget => bucket.discard_credit(now),
+                Event::DiscardCredit => bucket.discard_credit(now),
             }
         }
         let most = 20_000.0;
--- a/crates/stair-fleet/tests/random.rs
+++ b/crates/stair-fleet/tests/random.rs
@@ -38,18 +38,18 @@
     Pass(u64),
 }
 
-const LIVES: usize = 6;
+const INCARNATIONS: usize = 6;
 
 fn event() -> impl Strategy<Value = Event> {
     prop_oneof![
-        4 => (0..LIVES).prop_map(Event::Put),
-        2 => (0..LIVES).prop_map(Event::Remove),
-        2 => (vec(0..LIVES, 0..LIVES), 0..2000u64).prop_map(|(l, t)| Event::List(l, t)),
+        4 => (0..INCARNATIONS).prop_map(Event::Put),
+        2 => (0..INCARNATIONS).prop_map(Event::Remove),
+        2 => (vec(0..INCARNATIONS, 0..INCARNATIONS), 0..2000u64).prop_map(|(l, t)| Event::List(l, t)),
         3 => (1..1500u64).prop_map(Event::Pass),
     ]
 }
 
-fn life(n: usize) -> Target {
+fn incarnation(n: usize) -> Target {
     Target {
         id: format!("life-{n}").into(),
         addr: addr(n / 2),
@@ -60,34 +60,34 @@
 /// The oracle: until when each life may get requests, if it may.
 #[derive(Default)]
 struct Oracle {
-    lives: [Option<Duration>; LIVES],
+    incarnations: [Option<Duration>; INCARNATIONS],
 }
 
-const EVER: Duration = Duration::MAX;
+const FOREVER: Duration = Duration::MAX;
 
 impl Oracle {
     fn put(&mut self, n: usize) {
-        if self.lives[n].is_none() {
+        if self.incarnations[n].is_none() {
             // The other life at the address is over if it was only waited for.
-            let other = &mut self.lives[n ^ 1];
-            *other = other.filter(|until| *until == EVER);
+            let other = &mut self.incarnations[n ^ 1];
+            *other = other.filter(|until| *until == FOREVER);
         }
-        self.lives[n] = Some(EVER);
+        self.incarnations[n] = Some(FOREVER);
     }
 
     fn list(&mut self, listed: &[usize], until: Duration) {
-        for n in 0..LIVES {
-            let life = &mut self.lives[n];
-            if !listed.contains(&n) && *life == Some(EVER) {
-                *life = Some(until);
+        for n in 0..INCARNATIONS {
+            let incarnation = &mut self.incarnations[n];
+            if !listed.contains(&n) && *incarnation == Some(FOREVER) {
+                *incarnation = Some(until);
             }
         }
         listed.iter().for_each(|n| self.put(*n));
     }
 
     fn pass(&mut self, now: Duration) {
-        for life in &mut self.lives {
-            *life = life.filter(|until| now < *until);
+        for incarnation in &mut self.incarnations {
+            *incarnation = incarnation.filter(|until| now < *until);
         }
     }
 }
@@ -103,22 +103,22 @@
     /// whatever lists and changes come in whatever order; one that is listed does. Neither does one
     /// that is only waited for, once another life has come to its address.
     #[test]
-    fn targets_that_have_left(events in vec(event(), 1..60)) {
+    fn removed_targets(events in vec(event(), 1..60)) {
         let mut view = View::default();
         let mut oracle = Oracle::default();
         let mut now = ms(1000);
         for (n, event) in events.into_iter().enumerate() {
             match event {
                 Event::Put(n) => {
-                    view.put(life(n), now);
+                    view.put(incarnation(n), now);
                     oracle.put(n);
                 }
                 Event::Remove(n) => {
-                    view.remove(&life(n).id);
-                    oracle.lives[n] = None;
+                    view.remove(&incarnation(n).id);
+                    oracle.incarnations[n] = None;
                 }
                 Event::List(listed, grace) => {
-                    let targets = listed.iter().map(|n| life(*n)).collect();
+                    let targets = listed.iter().map(|n| incarnation(*n)).collect();
                     view.replace(targets, n as u64, now + ms(grace), now);
                     oracle.list(&listed, now + ms(grace));
                 }
@@ -126,10 +126,10 @@
             }
             view.expire(now);
             oracle.pass(now);
-            for n in 0..LIVES {
-                let id = life(n).id;
-                let open = view.all().any(|(_, s)| s.target.id == id && s.is_available(now));
-                prop_assert_eq!(open, oracle.lives[n].is_some(), "{}", id);
+            for n in 0..INCARNATIONS {
+                let id = incarnation(n).id;
+                let available = view.all().any(|(_, s)| s.target.id == id && s.is_available(now));
+                prop_assert_eq!(available, oracle.incarnations[n].is_some(), "{}", id);
             }
         }
     }
@@ -166,7 +166,7 @@
     /// However prompts come, whatever was learned of the engine before, no more tokens are let through
     /// in any half second than it reads in a burst, what drains meanwhile and one prompt.
     #[test]
-    fn prompts_let_through(
+    fn prompts_admitted(
         prompts in vec((0..300u64, 200..12_000u32, 0..6u64), 1..120),
         took in vec(100..900u64, 1..40),
     ) {
@@ -180,11 +180,11 @@
                 took: ms(took),
             });
         }
-        for (pause, tokens, head) in prompts {
+        for (pause, tokens, prefix) in prompts {
             now += ms(pause);
             let req = Request {
                 model: "a".into(),
-                blocks: vec![PrefixBlock { chain: head, tokens: 200 }],
+                blocks: vec![PrefixBlock { chain: prefix, tokens: 200 }],
                 tokens,
                 max_wait: ms(2000),
                 urgent_max_wait: None,
--- a/crates/stair-fleet/tests/support/mod.rs
+++ b/crates/stair-fleet/tests/support/mod.rs
@@ -77,12 +77,12 @@
 }
 
 pub(crate) fn inventory(models: &[&str], on_disk: &[&str]) -> Inventory {
-    let held = |m: &&str| LoadedModel {
+    let loaded = |m: &&str| LoadedModel {
         name: (**m).into(),
         adapters: Vec::new(),
     };
     let mut inventory = Inventory {
-        models: models.iter().map(held).collect(),
+        models: models.iter().map(loaded).collect(),
         in_memory: Vec::new(),
         on_disk: on_disk.iter().map(|m| (**m).into()).collect(),
     };
@@ -117,14 +117,14 @@
 }
 
 /// Part of an engine's time that a prompt of usual length takes a second.
-pub(crate) const PROMPT_WORK: f32 = 0.22;
+pub(crate) const PROMPT_PREFILL_FRACTION: f32 = 0.22;
 
 pub(crate) fn used(mut report: Report, model: &str, per_s: f32, in_flight: u32) -> Report {
     report.load.usage.push(Usage {
         model: model.into(),
         in_flight,
         per_s,
-        prefill_fraction: per_s * PROMPT_WORK,
+        prefill_fraction: per_s * PROMPT_PREFILL_FRACTION,
     });
     report.load.usage.sort_by(|a, b| a.model.cmp(&b.model));
     report
@@ -136,7 +136,7 @@
     let targets = (0..reports.len()).map(|n| target(n, SERVICE)).collect();
     view.replace(targets, 1, NOW, NOW);
     for (n, report) in reports.into_iter().enumerate() {
-        tell(&mut view, n, report);
+        apply_report(&mut view, n, report);
     }
     let keys = (0..view.all().count())
         .map(|n| view.all().find(|(_, s)| s.target.addr == addr(n)))
@@ -146,12 +146,12 @@
 }
 
 /// Tells the view what the agent of an engine reports.
-pub(crate) fn tell(view: &mut View, n: usize, report: Report) {
+pub(crate) fn apply_report(view: &mut View, n: usize, report: Report) {
     view.set_inventory_at(addr(n), report.inventory, NOW);
     view.set_load_at(addr(n), report.load, NOW);
 }
 
-pub(crate) fn ask<'a>(model: &'a str) -> choose::Options<'a> {
+pub(crate) fn options<'a>(model: &'a str) -> choose::Options<'a> {
     choose::Options {
         service: SERVICE,
         model: Some(model),
--- a/crates/stair-relay/src/context.rs
+++ b/crates/stair-relay/src/context.rs
@@ -37,8 +37,8 @@
         ToAgent, //
     },
     prefill::{
-        Measurement, //
-        Reply,
+        Measurement,
+        Reply, //
     },
     target_state::HEARTBEAT_TIMEOUT,
     view::TargetKey, //
--- a/crates/stair-relay/src/context/agents.rs
+++ b/crates/stair-relay/src/context/agents.rs
@@ -12,9 +12,9 @@
         ToAgent, //
     },
     prefill::{
-        Measurement, //
+        Measurement,
         Reply,
-        Request,
+        Request, //
     },
     view::TargetKey, //
 };
--- a/crates/stair-sidecar/src/allowances.rs
+++ b/crates/stair-sidecar/src/allowances.rs
@@ -15,9 +15,9 @@
 
 use stair_fleet::quota::{
     Crossing,
-    Ledger, //
+    Ledger,
     Reply,
-    Request,
+    Request, //
 };
 use stair_telemetry::{
     event::Line,
--- a/crates/stair-sidecar/tests/controller.rs
+++ b/crates/stair-sidecar/tests/controller.rs
@@ -18,8 +18,8 @@
     },
     target::{
         Fetched,
-        Inventory, //
-        LoadedModel,
+        Inventory,
+        LoadedModel, //
     },
 };
 use stair_sidecar::{
--- a/crates/stair-sidecar/tests/random.rs
+++ b/crates/stair-sidecar/tests/random.rs
@@ -17,8 +17,8 @@
     },
     msg::LoadRequest,
     target::{
-        Inventory, //
-        LoadedModel,
+        Inventory,
+        LoadedModel, //
     },
 };
 use stair_sidecar::{
