--- a/crates/dandelionstair/tests/promises/turns.rs
+++ b/crates/dandelionstair/tests/promises/turns.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use stair_types::rendezvous;
-use stair_wire::control::TURN_HOME;
+use stair_wire::control::LOAD_SLOT_OWNER_KEY;
 
 use crate::support::{
     Ask,
@@ -41,7 +41,7 @@
     slow.policy.weight_store.loads_per_second = LOADS_PER_SECOND;
     world.apply(&slow).await;
     let names = world.entries.iter().map(|e| &*e.name);
-    let home = rendezvous::ranked(TURN_HOME, names)[0];
+    let home = rendezvous::ranked(LOAD_SLOT_OWNER_KEY, names)[0];
     let caller = world.caller(1 - home);
     assert!(
         caller
--- a/crates/stair-agent/src/control_links.rs
+++ b/crates/stair-agent/src/control_links.rs
@@ -278,7 +278,7 @@
     }
     if now.crowded != said.crowded {
         let grants = now.crowded.clone();
-        frame::write_message(tx, &AgentControl::Crowded { grants }).await?;
+        frame::write_message(tx, &AgentControl::MemoryPressure { grants }).await?;
     }
     if now.config != said.config {
         let config = now.config;
--- a/crates/stair-agent/src/orders.rs
+++ b/crates/stair-agent/src/orders.rs
@@ -13,7 +13,7 @@
     RequestId,
     TierRank, //
 };
-use stair_wire::control::TurnRequest;
+use stair_wire::control::LoadSlotRequest;
 use tokio::time::Instant;
 
 use crate::{
@@ -56,7 +56,7 @@
         self.loading.push((item.clone(), self.now()));
         self.touch(Some(item));
         let left = deadline.saturating_sub(self.now());
-        let request = TurnRequest {
+        let request = LoadSlotRequest {
             rank,
             time_left_ms: u32::try_from(left.as_millis()).unwrap_or(u32::MAX),
         };
--- a/crates/stair-agent/src/turn.rs
+++ b/crates/stair-agent/src/turn.rs
@@ -13,10 +13,10 @@
 use stair_wire::{
     control::{
         EntryAddress,
-        Opening,
-        TURN_HOME,
-        TurnReply,
-        TurnRequest, //
+        LOAD_SLOT_OWNER_KEY,
+        LoadSlotReply,
+        LoadSlotRequest,
+        Opening, //
     },
     frame, //
 };
@@ -29,7 +29,7 @@
 const GRANTED_TIME: Duration = Duration::from_secs(60);
 
 /// A turn; it is given back when this is dropped.
-pub(crate) struct Turn {
+pub(crate) struct LoadSlot {
     _tx: SendStream,
     _rx: RecvStream,
     _in_use: InUse,
@@ -40,27 +40,27 @@
 pub(crate) async fn take(
     pool: &Pool,
     entries: &[EntryAddress],
-    request: TurnRequest,
-) -> Option<Turn> {
+    request: LoadSlotRequest,
+) -> Option<LoadSlot> {
     let names = entries.iter().map(|e| e.name.as_str());
-    let home = *rendezvous::ranked(TURN_HOME, names).first()?;
+    let home = *rendezvous::ranked(LOAD_SLOT_OWNER_KEY, names).first()?;
     let asked = timeout(QUEUED_TIME, ask(pool, &entries[home], request));
     let mut turn = asked.await.ok().flatten()?;
-    let granted = frame::read_message::<_, TurnReply>(&mut turn._rx);
+    let granted = frame::read_message::<_, LoadSlotReply>(&mut turn._rx);
     match timeout(GRANTED_TIME, granted).await {
-        Ok(Ok(TurnReply::Granted)) => Some(turn),
+        Ok(Ok(LoadSlotReply::Granted)) => Some(turn),
         _ => None,
     }
 }
 
-async fn ask(pool: &Pool, home: &EntryAddress, request: TurnRequest) -> Option<Turn> {
+async fn ask(pool: &Pool, home: &EntryAddress, request: LoadSlotRequest) -> Option<LoadSlot> {
     let link = pool.get(home.link).await.ok()?;
     let in_use = link.use_it();
     let (mut tx, mut rx) = link.open().await.ok()?;
-    let opening = Opening::Turn(request);
+    let opening = Opening::LoadSlot(request);
     frame::write_message(&mut tx, &opening).await.ok()?;
-    let _queued: TurnReply = frame::read_message(&mut rx).await.ok()?;
-    Some(Turn {
+    let _queued: LoadSlotReply = frame::read_message(&mut rx).await.ok()?;
+    Some(LoadSlot {
         _tx: tx,
         _rx: rx,
         _in_use: in_use,
--- a/crates/stair-agent/tests/common/entry.rs
+++ b/crates/stair-agent/tests/common/entry.rs
@@ -31,8 +31,8 @@
         Assignment,
         EntryControl,
         Hello,
-        Opening,
-        TurnReply, //
+        LoadSlotReply,
+        Opening, //
     },
     frame::{
         self,
@@ -117,10 +117,10 @@
                 tokio::spawn(self.clone().hear(rx));
                 self.tell(tx).await;
             }
-            Ok(Opening::Turn(_)) => {
+            Ok(Opening::LoadSlot(_)) => {
                 self.heard.lock().expect("lock").turns += 1;
-                let _ = frame::write_message(&mut tx, &TurnReply::Queued).await;
-                let _ = frame::write_message(&mut tx, &TurnReply::Granted).await;
+                let _ = frame::write_message(&mut tx, &LoadSlotReply::Queued).await;
+                let _ = frame::write_message(&mut tx, &LoadSlotReply::Granted).await;
                 let _ = frame::read_message::<_, ()>(&mut rx).await;
             }
             _ => {}
--- a/crates/stair-entry/src/control/agents.rs
+++ b/crates/stair-entry/src/control/agents.rs
@@ -89,7 +89,7 @@
                 }
                 true
             }
-            AgentControl::Crowded { grants } => {
+            AgentControl::MemoryPressure { grants } => {
                 let target = agent.hello.target.clone();
                 self.crowding.note(target, grants, Instant::now())
             }
--- a/crates/stair-entry/src/control/links.rs
+++ b/crates/stair-entry/src/control/links.rs
@@ -27,10 +27,10 @@
         AgentControl,
         EntryControl,
         Hello,
+        LoadSlotReply,
+        LoadSlotRequest,
         Opening,
-        PeerRequest,
-        TurnReply,
-        TurnRequest, //
+        PeerRequest, //
     },
     frame,
 };
@@ -84,7 +84,7 @@
     match tokio::time::timeout(OPENING_TIME, opening).await?? {
         Opening::Agent(hello) => serve_agent(tx, rx, actor, hello).await,
         Opening::Peer(PeerRequest::Snapshot) => serve_snapshot(tx, actor).await,
-        Opening::Turn(req) => serve_turn(tx, rx, &desk, req).await,
+        Opening::LoadSlot(req) => serve_turn(tx, rx, &desk, req).await,
     }
 }
 
@@ -155,17 +155,17 @@
     mut tx: SendStream,
     mut rx: RecvStream,
     desk: &Desk,
-    req: TurnRequest,
+    req: LoadSlotRequest,
 ) -> anyhow::Result<()> {
     let time_left = Duration::from_millis(u64::from(req.time_left_ms));
     let mut turn = desk.ask(req.rank, time_left);
-    frame::write_message(&mut tx, &TurnReply::Queued).await?;
+    frame::write_message(&mut tx, &LoadSlotReply::Queued).await?;
     let mut ended = [0; 1];
     tokio::select! {
         () = turn.granted() => {}
         _ = rx.read(&mut ended) => return Ok(()),
     }
-    frame::write_message(&mut tx, &TurnReply::Granted).await?;
+    frame::write_message(&mut tx, &LoadSlotReply::Granted).await?;
     // The agent ends the stream when the load has ended, and its link when it dies.
     let _ = rx.read(&mut ended).await;
     Ok(())
--- a/crates/stair-wire/src/control.rs
+++ b/crates/stair-wire/src/control.rs
@@ -35,18 +35,19 @@
     /// One entry asks another.
     Peer(PeerRequest),
     /// An agent asks for a turn at the weight store.
-    Turn(TurnRequest),
+    #[serde(rename = "Turn")]
+    LoadSlot(LoadSlotRequest),
 }
 
 /// An agent asks the weight store's home entry for a turn.
 ///
-/// The home is the first entry by rendezvous hash of [`TURN_HOME`]. The entry answers
-/// [`TurnReply::Queued`] at once and [`TurnReply::Granted`] when the load may start. The agent
+/// The home is the first entry by rendezvous hash of [`LOAD_SLOT_OWNER_KEY`]. The entry answers
+/// [`LoadSlotReply::Queued`] at once and [`LoadSlotReply::Granted`] when the load may start. The agent
 /// keeps the stream open until the load has ended: the end of the stream, or of its link, gives
 /// the turn back. An agent that gets no `Queued` within a second loads without a turn: two homes,
 /// or none, for a while cost speed only.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct TurnRequest {
+pub struct LoadSlotRequest {
     /// The best tier that waits for the load.
     pub rank: TierRank,
     /// Time left until the earliest deadline that waits, in milliseconds.
@@ -54,11 +55,11 @@
 }
 
 /// The key whose rendezvous hash names the home of the weight store's turns.
-pub const TURN_HOME: &str = "weight-store";
+pub const LOAD_SLOT_OWNER_KEY: &str = "weight-store";
 
 /// From the home of the weight store's turns to an agent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub enum TurnReply {
+pub enum LoadSlotReply {
     /// The request waits for its turn.
     Queued,
     /// The load may start.
@@ -96,7 +97,8 @@
     },
     /// Requests wait for these granted models, and the engine's memory is full of models that are
     /// in use. The list is complete; what an earlier one named and this one does not has room.
-    Crowded {
+    #[serde(rename = "Crowded")]
+    MemoryPressure {
         /// The grants whose models find no room.
         grants: Vec<(ShardId, GrantId)>,
     },
--- a/crates/stair-wire/tests/random_bytes.rs
+++ b/crates/stair-wire/tests/random_bytes.rs
@@ -12,9 +12,9 @@
     control::{
         AgentControl,
         EntryControl,
+        LoadSlotReply,
         Opening,
-        PeerRequest,
-        TurnReply, //
+        PeerRequest, //
     },
     frame::{
         self,
@@ -37,7 +37,7 @@
     let _ = frame::read::<_, AgentControl>(&mut &bytes[..]).await;
     let _ = frame::read::<_, EntryControl>(&mut &bytes[..]).await;
     let _ = frame::read::<_, PeerRequest>(&mut &bytes[..]).await;
-    let _ = frame::read::<_, TurnReply>(&mut &bytes[..]).await;
+    let _ = frame::read::<_, LoadSlotReply>(&mut &bytes[..]).await;
     let _ = frame::read_body(&mut &bytes[..]).await;
 }
 
