--- a/crates/stair-agent/src/lib.rs
+++ b/crates/stair-agent/src/lib.rs
@@ -35,7 +35,7 @@
 mod resume;
 mod run;
 mod slots;
-mod turn;
+mod load_slot;
 
 pub mod assignment;
 pub mod dump;
--- a/crates/stair-agent/src/turn.rs
+++ b/crates/stair-agent/src/load_slot.rs
@@ -23,10 +23,10 @@
 use tokio::time::timeout;
 
 /// A home that does not answer in this time is gone; a load without a turn costs speed only.
-const QUEUED_TIME: Duration = Duration::from_secs(1);
+const QUEUED_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// The longest wait for a turn, so that a home which forgot the request does not stop the load.
-const GRANTED_TIME: Duration = Duration::from_secs(60);
+const GRANTED_TIMEOUT: Duration = Duration::from_secs(60);
 
 /// A turn; it is given back when this is dropped.
 pub(crate) struct LoadSlot {
@@ -37,24 +37,24 @@
 }
 
 /// Waits for a turn; none when the home cannot be reached.
-pub(crate) async fn take(
+pub(crate) async fn acquire(
     pool: &Pool,
     entries: &[EntryAddress],
     request: LoadSlotRequest,
 ) -> Option<LoadSlot> {
     let names = entries.iter().map(|e| e.name.as_str());
-    let home = *rendezvous::ranked(LOAD_SLOT_OWNER_KEY, names).first()?;
-    let asked = timeout(QUEUED_TIME, ask(pool, &entries[home], request));
-    let mut turn = asked.await.ok().flatten()?;
-    let granted = frame::read_message::<_, LoadSlotReply>(&mut turn._rx);
-    match timeout(GRANTED_TIME, granted).await {
-        Ok(Ok(LoadSlotReply::Granted)) => Some(turn),
+    let owner = *rendezvous::ranked(LOAD_SLOT_OWNER_KEY, names).first()?;
+    let queued = timeout(QUEUED_TIMEOUT, request_slot(pool, &entries[owner], request));
+    let mut load_slot = queued.await.ok().flatten()?;
+    let granted = frame::read_message::<_, LoadSlotReply>(&mut load_slot._rx);
+    match timeout(GRANTED_TIMEOUT, granted).await {
+        Ok(Ok(LoadSlotReply::Granted)) => Some(load_slot),
         _ => None,
     }
 }
 
-async fn ask(pool: &Pool, home: &EntryAddress, request: LoadSlotRequest) -> Option<LoadSlot> {
-    let link = pool.get(home.link).await.ok()?;
+async fn request_slot(pool: &Pool, owner: &EntryAddress, request: LoadSlotRequest) -> Option<LoadSlot> {
+    let link = pool.get(owner.link).await.ok()?;
     let in_use = link.use_it();
     let (mut tx, mut rx) = link.open().await.ok()?;
     let opening = Opening::LoadSlot(request);
--- a/crates/stair-agent/src/orders.rs
+++ b/crates/stair-agent/src/orders.rs
@@ -27,7 +27,7 @@
     },
     loads::waits_for,
     msg::Msg,
-    turn, //
+    load_slot, //
 };
 
 /// Pause after a first failed load; it doubles with each failure up to [`MAX_RETRY`].
@@ -63,10 +63,10 @@
         let entries = self.args.entries.borrow().clone();
         let (me, item, pool) = (self.me.clone(), item.clone(), self.args.pool.clone());
         tokio::spawn(async move {
-            let turn = turn::take(&pool, &entries, request).await;
+            let slot = load_slot::acquire(&pool, &entries, request).await;
             let began = Instant::now();
             let (ended, source) = engine.load(&item, &version, memory_mib).await;
-            drop(turn);
+            drop(slot);
             let took = began.elapsed();
             let _ = me.send_message(Msg::LoadEnded {
                 item,
