--- a/crates/stair-agent/src/admit.rs
+++ b/crates/stair-agent/src/admit.rs
@@ -29,7 +29,7 @@
 use crate::{
     control::{
         Core,
-        Pending, //
+        Unstarted, //
     },
     msg::Event,
     refuse::{
@@ -48,7 +48,7 @@
     ///
     /// Under load a request that cannot finish in time would take a slot from one that can, and
     /// its caller would wait for nothing; so it is refused while another target may still take it.
-    pub(crate) fn offer(
+    pub(crate) fn admit(
         &mut self,
         offer: Box<Offer>,
         body: Bytes,
@@ -66,7 +66,7 @@
             (false, false) => self.item_of(&offer.work),
         };
         let item = checked.as_ref().ok().cloned().flatten();
-        let pending = Pending {
+        let unstarted = Unstarted {
             key: self.items.key(item.as_ref()),
             deadline: now + Duration::from_millis(offer.time_left_ms.into()),
             offer,
@@ -74,8 +74,8 @@
             events,
         };
         match checked {
-            Ok(_) => self.enqueue(pending),
-            Err(refusal) => self.refuse(pending, refusal),
+            Ok(_) => self.enqueue(unstarted),
+            Err(refusal) => self.refuse(unstarted, refusal),
         }
     }
 
@@ -109,49 +109,49 @@
         }
     }
 
-    fn enqueue(&mut self, pending: Pending) {
+    fn enqueue(&mut self, unstarted: Unstarted) {
         let now = self.now();
-        let waiting = self.waiting(&pending, now);
-        let est = self.estimate(pending.key);
+        let waiting = self.waiting(&unstarted, now);
+        let est = self.estimate(unstarted.key);
         match self.queue.push(now, waiting, &est) {
             Outcome::Queued { displaced } => {
                 if let Some(id) = displaced {
                     let message = "work of a higher tier took the place";
                     self.refuse_later(id, Reason::Displaced, message);
                 }
-                self.note_arrival(pending.key);
-                let load = self.load(self.items.get(pending.key));
-                let _ = pending.events.send(Event::Queued(load));
-                let id = pending.offer.id;
-                let at = self.pending.partition_point(|p| p.offer.id < id);
-                self.pending.insert(at, pending);
+                self.note_arrival(unstarted.key);
+                let load = self.load(self.items.get(unstarted.key));
+                let _ = unstarted.events.send(Event::Queued(load));
+                let id = unstarted.offer.id;
+                let at = self.unstarted.partition_point(|p| p.offer.id < id);
+                self.unstarted.insert(at, unstarted);
             }
             Outcome::Refused {
                 reason,
                 retry_after,
             } => {
                 if !est.ready_in.is_zero() {
-                    self.wake(pending.key, pending.offer.rank);
+                    self.wake(unstarted.key, unstarted.offer.rank);
                 }
                 let message = match reason {
                     Reason::QueueFull => "the queue is full",
                     _ => "the expected finish lies after the deadline",
                 };
                 let refusal = Refusal::not_run(reason, drained_ms(retry_after), message);
-                self.refuse(pending, refusal);
+                self.refuse(unstarted, refusal);
             }
         }
     }
 
-    fn waiting(&self, pending: &Pending, now: Duration) -> Waiting<RequestId> {
+    fn waiting(&self, unstarted: &Unstarted, now: Duration) -> Waiting<RequestId> {
         Waiting {
-            key: pending.offer.id,
-            rank: pending.offer.rank,
-            deadline: pending.deadline,
+            key: unstarted.offer.id,
+            rank: unstarted.offer.rank,
+            deadline: unstarted.deadline,
             arrived: now,
-            expected_run: self.items.run(pending.key, pending.offer.max_tokens),
-            bytes: u32::try_from(pending.body.len()).unwrap_or(u32::MAX),
-            model: pending.key,
+            expected_run: self.items.run(unstarted.key, unstarted.offer.max_tokens),
+            bytes: u32::try_from(unstarted.body.len()).unwrap_or(u32::MAX),
+            model: unstarted.key,
         }
     }
 
--- a/crates/stair-agent/src/control.rs
+++ b/crates/stair-agent/src/control.rs
@@ -55,7 +55,7 @@
     assignment::InForce,
     crowding::NoRoom,
     doubt::UnderWay,
-    early::Early,
+    pending_offers::PendingOffer,
     items::Items,
     msg::{
         Arguments,
@@ -84,7 +84,7 @@
 pub(crate) struct Control;
 
 /// An offer that has not started.
-pub(crate) struct Pending {
+pub(crate) struct Unstarted {
     pub(crate) offer: Box<Offer>,
     pub(crate) key: ModelKey,
     pub(crate) deadline: Duration,
@@ -127,9 +127,9 @@
     pub(crate) queue_opts: Options,
     pub(crate) items: Items,
     /// Sorted by id.
-    pub(crate) pending: Vec<Pending>,
+    pub(crate) unstarted: Vec<Unstarted>,
     pub(crate) active: Vec<Active>,
-    pub(crate) early: Vec<Early>,
+    pub(crate) pending_offers: Vec<PendingOffer>,
     pub(crate) no_room: Vec<NoRoom>,
     pub(crate) answers: ById<Arc<Answer>>,
     /// Counts the answers that are being read.
@@ -223,9 +223,9 @@
             queue: Queue::new(queue_opts.clone()),
             queue_opts,
             items: Items::default(),
-            pending: Vec::new(),
+            unstarted: Vec::new(),
             active: Vec::new(),
-            early: Vec::new(),
+            pending_offers: Vec::new(),
             no_room: Vec::new(),
             answers: ById::default(),
             readers: Readers::default(),
@@ -269,7 +269,7 @@
                 offer,
                 body,
                 events,
-            } => self.take_offer(offer, body, events),
+            } => self.receive_offer(offer, body, events),
             Msg::Start { id, reply } => {
                 let _ = reply.send(self.start(id));
             }
@@ -309,7 +309,7 @@
 
     /// Does everything that the present state allows.
     fn advance(&mut self) {
-        self.take_early();
+        self.retry_pending_offers();
         self.expire();
         self.settle();
         self.refuse_all_lost();
--- a/crates/stair-agent/src/lib.rs
+++ b/crates/stair-agent/src/lib.rs
@@ -18,7 +18,7 @@
 mod control_links;
 mod crowding;
 mod doubt;
-mod early;
+mod pending_offers;
 mod engine;
 mod incarnation;
 mod learn;
--- a/crates/stair-agent/src/early.rs
+++ b/crates/stair-agent/src/pending_offers.rs
@@ -22,14 +22,14 @@
 /// How long an offer waits for its assignment. Both come from entries that hear of a grant within
 /// milliseconds of each other; what takes longer is a broken link, and the request is better off
 /// elsewhere.
-const WAIT: Duration = Duration::from_secs(1);
+const ASSIGNMENT_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Offers that may wait so. More would be a burst on a model that is granted at this moment; they
 /// are refused as not granted.
-const MAX: usize = 1024;
+const MAX_PENDING_OFFERS: usize = 1024;
 
 /// An offer that waits for its assignment.
-pub(crate) struct Early {
+pub(crate) struct PendingOffer {
     offer: Box<Offer>,
     body: Bytes,
     events: mpsc::UnboundedSender<Event>,
@@ -38,18 +38,18 @@
 
 impl Core {
     /// Takes an offer, now or when the assignment that it rests on has come.
-    pub(crate) fn take_offer(
+    pub(crate) fn receive_offer(
         &mut self,
         offer: Box<Offer>,
         body: Bytes,
         events: mpsc::UnboundedSender<Event>,
     ) {
-        if !self.is_early(&offer) || self.early.len() >= MAX {
-            self.offer(offer, body, events);
+        if !self.awaits_assignment(&offer) || self.pending_offers.len() >= MAX_PENDING_OFFERS {
+            self.admit(offer, body, events);
             return;
         }
-        let until = self.now() + WAIT;
-        self.early.push(Early {
+        let until = self.now() + ASSIGNMENT_TIMEOUT;
+        self.pending_offers.push(PendingOffer {
             offer,
             body,
             events,
@@ -58,33 +58,33 @@
     }
 
     /// Takes the early offers whose assignment has come or whose time is up.
-    pub(crate) fn take_early(&mut self) {
-        if self.early.is_empty() {
+    pub(crate) fn retry_pending_offers(&mut self) {
+        if self.pending_offers.is_empty() {
             return;
         }
         let now = self.now();
-        for early in std::mem::take(&mut self.early) {
+        for pending in std::mem::take(&mut self.pending_offers) {
             // The entry has withdrawn it meanwhile.
-            if early.events.is_closed() {
+            if pending.events.is_closed() {
                 continue;
             }
-            if early.until > now && self.is_early(&early.offer) {
-                self.early.push(early);
+            if pending.until > now && self.awaits_assignment(&pending.offer) {
+                self.pending_offers.push(pending);
             } else {
-                self.offer(early.offer, early.body, early.events);
+                self.admit(pending.offer, pending.body, pending.events);
             }
         }
     }
 
-    fn is_early(&self, offer: &Offer) -> bool {
+    fn awaits_assignment(&self, offer: &Offer) -> bool {
         let Work::Model { model, .. } = &offer.work else {
             return false;
         };
         let known = self.in_force.version(shard_of(model));
-        let behind = offer.shard_version > known;
+        let lags = offer.shard_version > known;
         // At its start the agent reads its grants from the platform, and learns what the models
         // are like from its first entry.
         let unspecified = self.in_force.model(model).is_none() && self.in_force.grants(model);
-        (behind && self.in_force.may_hold(model).is_none() || unspecified) && !self.takes_no_work()
+        (lags && self.in_force.may_hold(model).is_none() || unspecified) && !self.takes_no_work()
     }
 }
--- a/crates/stair-agent/src/refuse.rs
+++ b/crates/stair-agent/src/refuse.rs
@@ -14,7 +14,7 @@
     admit::ELSEWHERE_MS,
     control::{
         Core,
-        Pending, //
+        Unstarted, //
     },
     msg::Event, //
 };
@@ -71,7 +71,7 @@
     }
 
     fn refuse_all(&mut self, refusal: &Refusal) {
-        let ids: Vec<RequestId> = self.pending.iter().map(|p| p.offer.id).collect();
+        let ids: Vec<RequestId> = self.unstarted.iter().map(|p| p.offer.id).collect();
         for id in ids {
             self.queue.remove(id);
             self.refuse_id(id, refusal.clone());
@@ -79,9 +79,9 @@
     }
 
     pub(crate) fn refuse_id(&mut self, id: RequestId, refusal: Refusal) {
-        if let Ok(i) = self.find_pending(id) {
-            let pending = self.pending.remove(i);
-            self.refuse(pending, refusal);
+        if let Ok(i) = self.find_unstarted(id) {
+            let unstarted = self.unstarted.remove(i);
+            self.refuse(unstarted, refusal);
         }
     }
 
@@ -92,17 +92,17 @@
         self.refuse_id(id, refusal);
     }
 
-    pub(crate) fn refuse(&mut self, pending: Pending, refusal: Refusal) {
-        let id = pending.offer.id;
+    pub(crate) fn refuse(&mut self, unstarted: Unstarted, refusal: Refusal) {
+        let id = unstarted.offer.id;
         self.args.metrics.refusal(refusal.reason, refusal.verdict);
         self.runs.withdraw(self.now(), id);
         self.active.retain(|a| a.id != id || a.started);
-        let load = self.load(self.items.get(pending.key));
-        let _ = pending.events.send(Event::Refused(refusal, load));
+        let load = self.load(self.items.get(unstarted.key));
+        let _ = unstarted.events.send(Event::Refused(refusal, load));
     }
 
-    pub(crate) fn find_pending(&self, id: RequestId) -> Result<usize, usize> {
-        self.pending.binary_search_by_key(&id, |p| p.offer.id)
+    pub(crate) fn find_unstarted(&self, id: RequestId) -> Result<usize, usize> {
+        self.unstarted.binary_search_by_key(&id, |p| p.offer.id)
     }
 }
 
--- a/crates/stair-agent/src/slots.rs
+++ b/crates/stair-agent/src/slots.rs
@@ -59,8 +59,8 @@
             self.touch(item.as_ref());
             let waited = now.saturating_sub(next.arrived);
             self.args.metrics.latency(Latency::Queued, waited);
-            let max_tokens = self.find_pending(next.key);
-            let max_tokens = max_tokens.map_or(0, |i| self.pending[i].offer.max_tokens);
+            let max_tokens = self.find_unstarted(next.key);
+            let max_tokens = max_tokens.map_or(0, |i| self.unstarted[i].offer.max_tokens);
             self.active.push(Active {
                 id: next.key,
                 key: next.model,
@@ -74,11 +74,11 @@
     }
 
     fn make_ready(&mut self, id: RequestId) {
-        let Ok(i) = self.find_pending(id) else {
+        let Ok(i) = self.find_unstarted(id) else {
             return;
         };
-        let events = self.pending[i].events.clone();
-        if !self.pending[i].offer.start_when_ready {
+        let events = self.unstarted[i].events.clone();
+        if !self.unstarted[i].offer.start_when_ready {
             let _ = events.send(Event::Ready);
             return;
         }
@@ -90,19 +90,19 @@
     /// Runs a request that holds a slot, at most once.
     pub(crate) fn start(&mut self, id: RequestId) -> Option<Arc<Answer>> {
         let slot = self.active.iter().position(|a| a.id == id && !a.started)?;
-        let at = self.find_pending(id).ok()?;
+        let at = self.find_unstarted(id).ok()?;
         if !self.runs.start(id) {
             return None;
         }
         self.active[slot].started = true;
-        let pending = self.pending.remove(at);
+        let unstarted = self.unstarted.remove(at);
         let max_bytes = self.args.limits.max_answer_bytes.into();
         let answer = Answer::new(max_bytes, self.readers.clone());
         self.answers.insert(id, answer.clone());
         let job = run::Job {
-            time_left: pending.deadline.saturating_sub(self.now()),
-            offer: pending.offer,
-            body: pending.body,
+            time_left: unstarted.deadline.saturating_sub(self.now()),
+            offer: unstarted.offer,
+            body: unstarted.body,
             answer: answer.clone(),
             client: self.args.client.clone(),
             incarnation: self.args.incarnation,
@@ -121,8 +121,8 @@
         }
         self.queue.remove(id);
         self.active.retain(|a| a.id != id);
-        if let Ok(i) = self.find_pending(id) {
-            self.pending.remove(i);
+        if let Ok(i) = self.find_unstarted(id) {
+            self.unstarted.remove(i);
         }
     }
 
