--- a/crates/stair-agent/src/admit.rs
+++ b/crates/stair-agent/src/admit.rs
@@ -34,7 +34,7 @@
     msg::Event,
     refuse::{
         drained_ms,
-        engine_lost,
+        engine_down_refusal,
         leaving,
         millis, //
     },
@@ -60,9 +60,9 @@
             let _ = events.send(Event::Refused(refusal, self.load(None)));
             return;
         }
-        let checked = match (self.takes_no_work(), self.engine_is_lost()) {
+        let checked = match (self.takes_no_work(), self.engine_is_down()) {
             (true, _) => Err(leaving()),
-            (false, true) => Err(engine_lost()),
+            (false, true) => Err(engine_down_refusal()),
             (false, false) => self.item_of(&offer.work),
         };
         let item = checked.as_ref().ok().cloned().flatten();
--- a/crates/stair-agent/src/control.rs
+++ b/crates/stair-agent/src/control.rs
@@ -54,8 +54,6 @@
     },
     assignment::InForce,
     crowding::NoRoom,
-    doubt::UnderWay,
-    pending_offers::PendingOffer,
     items::Items,
     msg::{
         Arguments,
@@ -67,6 +65,8 @@
         keep_options,
         queue_options, //
     },
+    pending_offers::PendingOffer,
+    reconcile::UnconfirmedOrders,
 };
 
 /// Time between the control's own ticks.
@@ -154,9 +154,9 @@
     /// The engine's list has to be read before the next order.
     pub(crate) relist: bool,
     /// Orders that may take effect although they were given up.
-    pub(crate) under_way: UnderWay,
+    pub(crate) unconfirmed: UnconfirmedOrders,
     /// Since when the engine has not answered when it was asked for its list.
-    pub(crate) silent_since: Option<Duration>,
+    pub(crate) unresponsive_since: Option<Duration>,
     /// The planned stop has begun.
     pub(crate) leaving: bool,
     /// What the platform's list says of this VM.
@@ -209,9 +209,9 @@
     fn new(me: ActorRef<Msg>, args: Arguments) -> Self {
         let keep = Keep::new(keep_options(&args.in_force));
         let queue_opts = queue_options(&args.in_force, &args.limits);
-        let under_way = match args.engine {
-            Some(_) if args.incarnation > FIRST => UnderWay::of_predecessor(),
-            _ => UnderWay::default(),
+        let unconfirmed = match args.engine {
+            Some(_) if args.incarnation > FIRST => UnconfirmedOrders::of_predecessor(),
+            _ => UnconfirmedOrders::default(),
         };
         Self {
             me,
@@ -240,8 +240,8 @@
             orders: 0,
             listing: false,
             relist: false,
-            under_way,
-            silent_since: None,
+            unconfirmed,
+            unresponsive_since: None,
             leaving: false,
             vm: VmNotice::default(),
             loads: 0,
@@ -292,12 +292,12 @@
             Msg::Vm(notice) => self.note_vm(notice),
             Msg::LoadEnded {
                 item,
-                ended,
+                outcome,
                 source,
                 took,
-            } => self.load_ended(&item, ended, source, took),
-            Msg::UnloadEnded { item, ended } => self.unload_ended(&item, ended),
-            Msg::Listed(listed) => self.listed(listed),
+            } => self.load_ended(&item, outcome, source, took),
+            Msg::UnloadEnded { item, outcome } => self.unload_ended(&item, outcome),
+            Msg::Inventory(inventory) => self.inventory_received(inventory),
             Msg::Tick => {
                 self.unload_idle();
                 self.report();
@@ -311,13 +311,13 @@
     fn advance(&mut self) {
         self.retry_pending_offers();
         self.expire();
-        self.settle();
-        self.refuse_all_lost();
-        if self.knows_engine() && !self.leaving {
+        self.reconcile_inventory();
+        self.refuse_all_engine_down();
+        if self.knows_inventory() && !self.leaving {
             self.hand_out();
         }
         if self.may_order() {
-            self.reconcile();
+            self.unload_undeclared();
             self.order_loads();
         }
         self.give_back();
--- a/crates/stair-agent/src/dump.rs
+++ b/crates/stair-agent/src/dump.rs
@@ -60,7 +60,7 @@
             shards: self.in_force.shards().to_vec(),
             released: self.in_force.released().to_vec(),
             ledger: self.ledger.clone(),
-            in_doubt: !self.knows_engine(),
+            in_doubt: !self.knows_inventory(),
             orders: self.orders,
             loads: self.loads,
             waiting: self.queue.iter().map(|w| w.key).collect(),
--- a/crates/stair-agent/src/engine.rs
+++ b/crates/stair-agent/src/engine.rs
@@ -31,76 +31,76 @@
 };
 
 /// A list is small and made without work; an engine that needs longer is silent.
-const LIST_TIME: Duration = Duration::from_secs(2);
+const LIST_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// An unload only frees memory.
-const UNLOAD_TIME: Duration = Duration::from_secs(30);
+const UNLOAD_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// Fencing tokens of one incarnation. The agent raises its own after each order whose answer was
 /// lost, so that the order can no longer take effect; the next incarnation's are all higher.
-const FENCES: u64 = 1 << 20;
+const FENCES_PER_INCARNATION: u64 = 1 << 20;
 
 /// A name that no engine holds: an order to unload it only tells the engine the fencing token.
-const NOTHING: &str = "dandelionstair.nothing";
+const FENCE_ONLY_MODEL: &str = "dandelionstair.nothing";
 
 /// The longest list or answer to an order.
-const MAX_BYTES: usize = 1 << 20;
+const MAX_REPLY_BYTES: usize = 1 << 20;
 
 /// The engine as its own list shows it.
 #[derive(Debug, Clone, Deserialize)]
-pub(crate) struct Listed {
+pub(crate) struct Inventory {
     pub(crate) memory_mib: u32,
-    models: Vec<ListedModel>,
+    models: Vec<InventoryModel>,
 }
 
 #[derive(Debug, Clone, Deserialize)]
-struct ListedModel {
+struct InventoryModel {
     name: ModelName,
     version: Box<str>,
     memory_mib: u32,
-    state: ListedState,
+    state: InventoryState,
     #[serde(default)]
-    adapters: Vec<ListedAdapter>,
+    adapters: Vec<InventoryAdapter>,
 }
 
 #[derive(Debug, Clone, Deserialize)]
-struct ListedAdapter {
+struct InventoryAdapter {
     name: AdapterName,
     version: Box<str>,
     memory_mib: u32,
     #[serde(default)]
-    state: ListedState,
+    state: InventoryState,
 }
 
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-enum ListedState {
+enum InventoryState {
     Loading,
     #[default]
     Loaded,
     Unloading,
 }
 
-impl From<ListedState> for State {
-    fn from(state: ListedState) -> Self {
+impl From<InventoryState> for State {
+    fn from(state: InventoryState) -> Self {
         match state {
-            ListedState::Loading => Self::Loading,
-            ListedState::Loaded => Self::Loaded,
-            ListedState::Unloading => Self::Unloading,
+            InventoryState::Loading => Self::Loading,
+            InventoryState::Loaded => Self::Loaded,
+            InventoryState::Unloading => Self::Unloading,
         }
     }
 }
 
-impl Listed {
+impl Inventory {
     /// Tells whether the engine is still loading or unloading something.
-    pub(crate) fn is_moving(&self) -> bool {
+    pub(crate) fn is_changing(&self) -> bool {
         let adapters = self.models.iter().flat_map(|m| &m.adapters);
         let mut states = self
             .models
             .iter()
             .map(|m| m.state)
             .chain(adapters.map(|a| a.state));
-        states.any(|s| s != ListedState::Loaded)
+        states.any(|s| s != InventoryState::Loaded)
     }
 
     pub(crate) fn entries(self) -> Vec<Entry> {
@@ -108,7 +108,7 @@
     }
 }
 
-fn entries_of(model: ListedModel) -> Vec<Entry> {
+fn entries_of(model: InventoryModel) -> Vec<Entry> {
     let base = Entry {
         item: Item {
             model: model.name.clone(),
@@ -132,11 +132,11 @@
 
 /// How an order ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Ordered {
+pub(crate) enum OrderOutcome {
     /// As the ledger takes it.
-    Answer(Answer),
+    Reply(Answer),
     /// No answer came: the order may still be under way.
-    Unanswered,
+    NoReply,
     /// The engine holds something that the ledger does not know of: it has no room although the
     /// ledger has, or another version of the model.
     Unexpected,
@@ -187,38 +187,38 @@
 pub(crate) struct Engine {
     client: Client,
     fence: FencingToken,
-    load_time: Duration,
+    load_timeout: Duration,
 }
 
 impl Engine {
-    pub(crate) fn new(client: Client, fence: FencingToken, load_time: Duration) -> Self {
+    pub(crate) fn new(client: Client, fence: FencingToken, load_timeout: Duration) -> Self {
         Self {
             client,
-            fence: FencingToken(fence.0.saturating_mul(FENCES)),
-            load_time,
+            fence: FencingToken(fence.0.saturating_mul(FENCES_PER_INCARNATION)),
+            load_timeout,
         }
     }
 
-    pub(crate) async fn list(&self) -> anyhow::Result<Listed> {
+    pub(crate) async fn list(&self) -> anyhow::Result<Inventory> {
         let req = Request::get("/engine").body(Full::default())?;
-        let answer = self.client.send(req, LIST_TIME).await?;
-        anyhow::ensure!(answer.head.status == StatusCode::OK, "no list");
-        let body = answer.collect(MAX_BYTES, LIST_TIME).await?;
+        let reply = self.client.send(req, LIST_TIMEOUT).await?;
+        anyhow::ensure!(reply.head.status == StatusCode::OK, "no list");
+        let body = reply.collect(MAX_REPLY_BYTES, LIST_TIMEOUT).await?;
         Ok(serde_json::from_slice(&body)?)
     }
 
     /// Makes the engine refuse all orders that were given before [`Engine::raise_fence`] and have
     /// not arrived yet, if it checks fencing tokens, and lists what it holds.
-    pub(crate) async fn list_fenced(&self) -> anyhow::Result<Listed> {
+    pub(crate) async fn list_fenced(&self) -> anyhow::Result<Inventory> {
         let order = Order {
-            model: NOTHING,
+            model: FENCE_ONLY_MODEL,
             adapter: None,
             version: None,
             memory_mib: None,
             fence: self.fence,
         };
-        let (told, _) = self.order("/engine/unload", &order, LIST_TIME).await;
-        anyhow::ensure!(told != Ordered::Unanswered, "the engine is silent");
+        let (outcome, _) = self.order("/engine/unload", &order, LIST_TIMEOUT).await;
+        anyhow::ensure!(outcome != OrderOutcome::NoReply, "the engine is silent");
         self.list().await
     }
 
@@ -232,7 +232,7 @@
         item: &Item,
         version: &str,
         memory_mib: u32,
-    ) -> (Ordered, Option<Source>) {
+    ) -> (OrderOutcome, Option<Source>) {
         let path = match item.adapter {
             None => "/engine/load",
             Some(_) => "/engine/adapters/load",
@@ -244,12 +244,12 @@
             memory_mib: Some(memory_mib),
             fence: self.fence,
         };
-        let (ended, body) = self.order(path, &order, self.load_time).await;
+        let (outcome, body) = self.order(path, &order, self.load_timeout).await;
         let loaded: Option<Loaded> = serde_json::from_slice(&body).ok();
-        (ended, loaded.and_then(|l| l.source))
+        (outcome, loaded.and_then(|l| l.source))
     }
 
-    pub(crate) async fn unload(&self, item: &Item) -> Ordered {
+    pub(crate) async fn unload(&self, item: &Item) -> OrderOutcome {
         let path = match item.adapter {
             None => "/engine/unload",
             Some(_) => "/engine/adapters/unload",
@@ -261,17 +261,24 @@
             memory_mib: None,
             fence: self.fence,
         };
-        let (ended, _) = self.order(path, &order, UNLOAD_TIME).await;
-        match ended {
+        let (outcome, _) = self.order(path, &order, UNLOAD_TIMEOUT).await;
+        match outcome {
             // Whatever else the engine says to an unload, only its list tells what it holds.
-            Ordered::Answer(Answer::Refused) | Ordered::Unexpected => Ordered::Answer(Answer::Lost),
+            OrderOutcome::Reply(Answer::Refused) | OrderOutcome::Unexpected => {
+                OrderOutcome::Reply(Answer::Lost)
+            }
             other => other,
         }
     }
 
     /// Gives an order; returns how it ended and the answer's body.
-    async fn order(&self, path: &str, order: &Order<'_>, time: Duration) -> (Ordered, Bytes) {
-        let without_body = |ended| (ended, Bytes::new());
+    async fn order(
+        &self,
+        path: &str,
+        order: &Order<'_>,
+        timeout: Duration,
+    ) -> (OrderOutcome, Bytes) {
+        let without_body = |outcome| (outcome, Bytes::new());
         let body = serde_json::to_vec(order).unwrap_or_default();
         let req = Request::builder()
             .method(Method::POST)
@@ -279,27 +286,29 @@
             .header(CONTENT_TYPE, "application/json")
             .body(Full::new(Bytes::from(body)));
         let Ok(req) = req else {
-            return without_body(Ordered::Answer(Answer::Refused));
+            return without_body(OrderOutcome::Reply(Answer::Refused));
         };
-        let answer = match self.client.send(req, time).await {
-            Ok(answer) => answer,
-            Err(HttpError::NotSent(_)) => return without_body(Ordered::Answer(Answer::Refused)),
-            Err(_) => return without_body(Ordered::Unanswered),
+        let reply = match self.client.send(req, timeout).await {
+            Ok(reply) => reply,
+            Err(HttpError::NotSent(_)) => {
+                return without_body(OrderOutcome::Reply(Answer::Refused));
+            }
+            Err(_) => return without_body(OrderOutcome::NoReply),
         };
-        let status = answer.head.status;
+        let status = reply.head.status;
         // The body has to be read whole before the connection serves another order.
-        let Ok(body) = answer.collect(MAX_BYTES, LIST_TIME).await else {
-            return without_body(Ordered::Answer(Answer::Lost));
+        let Ok(body) = reply.collect(MAX_REPLY_BYTES, LIST_TIMEOUT).await else {
+            return without_body(OrderOutcome::Reply(Answer::Lost));
         };
-        let ended = match status {
-            StatusCode::OK => Ordered::Answer(Answer::Done),
-            StatusCode::CONFLICT if is_stale(&body) => Ordered::Superseded,
-            StatusCode::CONFLICT | StatusCode::INSUFFICIENT_STORAGE => Ordered::Unexpected,
+        let outcome = match status {
+            StatusCode::OK => OrderOutcome::Reply(Answer::Done),
+            StatusCode::CONFLICT if is_stale(&body) => OrderOutcome::Superseded,
+            StatusCode::CONFLICT | StatusCode::INSUFFICIENT_STORAGE => OrderOutcome::Unexpected,
             // What is to be unloaded is not there; what is to be loaded is not known.
-            StatusCode::NOT_FOUND if order.version.is_none() => Ordered::Answer(Answer::Done),
-            StatusCode::NOT_FOUND => Ordered::Answer(Answer::Refused),
-            _ => Ordered::Answer(Answer::Lost),
+            StatusCode::NOT_FOUND if order.version.is_none() => OrderOutcome::Reply(Answer::Done),
+            StatusCode::NOT_FOUND => OrderOutcome::Reply(Answer::Refused),
+            _ => OrderOutcome::Reply(Answer::Lost),
         };
-        (ended, body)
+        (outcome, body)
     }
 }
--- a/crates/stair-agent/src/load_slot.rs
+++ b/crates/stair-agent/src/load_slot.rs
@@ -53,7 +53,11 @@
     }
 }
 
-async fn request_slot(pool: &Pool, owner: &EntryAddress, request: LoadSlotRequest) -> Option<LoadSlot> {
+async fn request_slot(
+    pool: &Pool,
+    owner: &EntryAddress,
+    request: LoadSlotRequest,
+) -> Option<LoadSlot> {
     let link = pool.get(owner.link).await.ok()?;
     let in_use = link.use_it();
     let (mut tx, mut rx) = link.open().await.ok()?;
--- a/crates/stair-agent/src/loads.rs
+++ b/crates/stair-agent/src/loads.rs
@@ -63,7 +63,7 @@
 
 impl Core {
     /// Unloads what may not be held or is of another version.
-    pub(crate) fn reconcile(&mut self) {
+    pub(crate) fn unload_undeclared(&mut self) {
         // Until the first configuration came, what is declared is not known.
         if self.in_force.config().0 == 0 {
             return;
@@ -269,7 +269,7 @@
     /// Gives back grants that are being revoked, once the engine surely holds the model no longer
     /// and nothing can load it: a load after the grant was removed would exceed the replicas.
     pub(crate) fn give_back(&mut self) {
-        if self.relist || self.listing || self.under_way.is_any() {
+        if self.relist || self.listing || self.unconfirmed.any() {
             return;
         }
         let free = |model: &ModelName| {
--- a/crates/stair-agent/src/msg.rs
+++ b/crates/stair-agent/src/msg.rs
@@ -49,8 +49,8 @@
     dump::Dump,
     engine::{
         Engine,
-        Listed,
-        Ordered,
+        Inventory,
+        OrderOutcome,
         Source, //
     },
 };
@@ -88,15 +88,15 @@
     Vm(VmNotice),
     LoadEnded {
         item: Item,
-        ended: Ordered,
+        outcome: OrderOutcome,
         source: Option<Source>,
         took: Duration,
     },
     UnloadEnded {
         item: Item,
-        ended: Ordered,
+        outcome: OrderOutcome,
     },
-    Listed(Option<Listed>),
+    Inventory(Option<Inventory>),
     Tick,
     Stop,
     Dump {
--- a/crates/stair-agent/src/orders.rs
+++ b/crates/stair-agent/src/orders.rs
@@ -22,12 +22,12 @@
         Failure, //
     },
     engine::{
-        Ordered,
+        OrderOutcome,
         Source, //
     },
+    load_slot,
     loads::waits_for,
-    msg::Msg,
-    load_slot, //
+    msg::Msg, //
 };
 
 /// Pause after a first failed load; it doubles with each failure up to [`MAX_RETRY`].
@@ -65,12 +65,12 @@
         tokio::spawn(async move {
             let slot = load_slot::acquire(&pool, &entries, request).await;
             let began = Instant::now();
-            let (ended, source) = engine.load(&item, &version, memory_mib).await;
+            let (outcome, source) = engine.load(&item, &version, memory_mib).await;
             drop(slot);
             let took = began.elapsed();
             let _ = me.send_message(Msg::LoadEnded {
                 item,
-                ended,
+                outcome,
                 source,
                 took,
             });
@@ -85,37 +85,37 @@
         self.orders += 1;
         let (me, item) = (self.me.clone(), item.clone());
         tokio::spawn(async move {
-            let ended = engine.unload(&item).await;
-            let _ = me.send_message(Msg::UnloadEnded { item, ended });
+            let outcome = engine.unload(&item).await;
+            let _ = me.send_message(Msg::UnloadEnded { item, outcome });
         });
     }
 
     pub(crate) fn load_ended(
         &mut self,
         item: &Item,
-        ended: Ordered,
+        outcome: OrderOutcome,
         source: Option<Source>,
         took: Duration,
     ) {
-        self.report_load(item, ended, source, took);
+        self.report_load(item, outcome, source, took);
         self.orders -= 1;
         self.loading.retain(|(other, _)| other != item);
-        match ended {
-            Ordered::Answer(answer) => self.ledger.end_load(item, answer),
-            Ordered::Unanswered => {
+        match outcome {
+            OrderOutcome::Reply(reply) => self.ledger.end_load(item, reply),
+            OrderOutcome::NoReply => {
                 self.ledger.end_load(item, Answer::Lost);
-                self.note_unanswered(item);
+                self.record_unconfirmed(item);
             }
-            Ordered::Unexpected => {
+            OrderOutcome::Unexpected => {
                 self.ledger.end_load(item, Answer::Refused);
                 self.relist = true;
             }
-            Ordered::Superseded => {
+            OrderOutcome::Superseded => {
                 self.ledger.end_load(item, Answer::Refused);
                 self.superseded();
             }
         }
-        if ended == Ordered::Answer(Answer::Done) {
+        if outcome == OrderOutcome::Reply(Answer::Done) {
             self.items.loaded(item, took);
             self.failures.retain(|f| f.item != *item);
             self.touch(Some(item));
@@ -126,16 +126,16 @@
         }
     }
 
-    pub(crate) fn unload_ended(&mut self, item: &Item, ended: Ordered) {
+    pub(crate) fn unload_ended(&mut self, item: &Item, outcome: OrderOutcome) {
         self.orders -= 1;
-        match ended {
-            Ordered::Answer(answer) => self.ledger.end_unload(item, answer),
-            Ordered::Unanswered => {
+        match outcome {
+            OrderOutcome::Reply(reply) => self.ledger.end_unload(item, reply),
+            OrderOutcome::NoReply => {
                 self.ledger.end_unload(item, Answer::Lost);
-                self.note_unanswered(item);
+                self.record_unconfirmed(item);
             }
-            Ordered::Unexpected => self.ledger.end_unload(item, Answer::Lost),
-            Ordered::Superseded => {
+            OrderOutcome::Unexpected => self.ledger.end_unload(item, Answer::Lost),
+            OrderOutcome::Superseded => {
                 self.ledger.end_unload(item, Answer::Lost);
                 self.superseded();
             }
--- a/crates/stair-agent/src/refuse.rs
+++ b/crates/stair-agent/src/refuse.rs
@@ -64,9 +64,9 @@
     }
 
     /// Refuses everything that has not started at an engine that is down.
-    pub(crate) fn refuse_all_lost(&mut self) {
-        if self.engine_is_lost() {
-            self.refuse_all(&engine_lost());
+    pub(crate) fn refuse_all_engine_down(&mut self) {
+        if self.engine_is_down() {
+            self.refuse_all(&engine_down_refusal());
         }
     }
 
@@ -108,10 +108,14 @@
 
 /// When a caller may come back after the engine was found down, in milliseconds: a process beside
 /// it starts it again in some seconds.
-const LOST_MS: u32 = 2_000;
-
-pub(crate) fn engine_lost() -> Refusal {
-    Refusal::not_run(Reason::TargetFailed, LOST_MS, "the engine does not answer")
+const ENGINE_DOWN_RETRY_MS: u32 = 2_000;
+
+pub(crate) fn engine_down_refusal() -> Refusal {
+    Refusal::not_run(
+        Reason::TargetFailed,
+        ENGINE_DOWN_RETRY_MS,
+        "the engine does not answer",
+    )
 }
 
 /// Says that the agent takes no more work.
--- a/crates/stair-agent/src/report.rs
+++ b/crates/stair-agent/src/report.rs
@@ -16,7 +16,7 @@
 use crate::{
     control::Core,
     engine::{
-        Ordered,
+        OrderOutcome,
         Source, //
     },
 };
@@ -50,18 +50,18 @@
     pub(crate) fn report_load(
         &self,
         item: &Item,
-        ended: Ordered,
+        outcome: OrderOutcome,
         source: Option<Source>,
         took: Duration,
     ) {
-        let outcome = match ended {
-            Ordered::Answer(Answer::Done) => LoadOutcome::Loaded,
-            Ordered::Answer(Answer::Lost) | Ordered::Unanswered => LoadOutcome::Unknown,
+        let label = match outcome {
+            OrderOutcome::Reply(Answer::Done) => LoadOutcome::Loaded,
+            OrderOutcome::Reply(Answer::Lost) | OrderOutcome::NoReply => LoadOutcome::Unknown,
             _ => LoadOutcome::Failed,
         };
         let metrics = &self.args.metrics;
-        metrics.load(outcome);
-        if outcome != LoadOutcome::Loaded {
+        metrics.load(label);
+        if label != LoadOutcome::Loaded {
             return;
         }
         metrics.latency(Latency::ColdStart, took);
--- a/crates/stair-agent/src/slots.rs
+++ b/crates/stair-agent/src/slots.rs
@@ -43,10 +43,10 @@
         let general = slots - slots / SHORT_PART;
         while self.active.len() < slots {
             let (ledger, in_force, items) = (&self.ledger, &self.in_force, &self.items);
-            let under_way = &self.under_way;
+            let unconfirmed = &self.unconfirmed;
             let ready = |key| {
                 let item = items.get(key);
-                item.is_none_or(|i| !under_way.is_for(i) && is_current(ledger, in_force, i))
+                item.is_none_or(|i| !unconfirmed.affects(i) && is_current(ledger, in_force, i))
             };
             let next = match self.active.len() < general {
                 true => self.queue.pop(now, ready),
--- a/crates/stair-agent/src/start.rs
+++ b/crates/stair-agent/src/start.rs
@@ -55,7 +55,7 @@
     dump::Dump,
     engine::{
         Engine,
-        Listed, //
+        Inventory, //
     },
     incarnation::{
         self,
@@ -422,18 +422,18 @@
 }
 
 fn engine(settings: &AgentSettings, client: &Client, fence: FencingToken) -> Option<Engine> {
-    let load_time = Duration::from_millis(settings.limits.load_timeout_ms.into());
+    let load_timeout = Duration::from_millis(settings.limits.load_timeout_ms.into());
     match settings.target {
-        TargetSettings::Engine { .. } => Some(Engine::new(client.clone(), fence, load_time)),
+        TargetSettings::Engine { .. } => Some(Engine::new(client.clone(), fence, load_timeout)),
         TargetSettings::Service { .. } => None,
     }
 }
 
 async fn read_ledger(engine: &Engine, target: &TargetSettings) -> Ledger {
     let mut pause = Pause::default();
-    let listed: Listed = loop {
+    let inventory: Inventory = loop {
         match engine.list().await {
-            Ok(listed) => break listed,
+            Ok(inventory) => break inventory,
             Err(e) => {
                 stair_telemetry::warn!(Part::Agent, "the engine does not list what it holds: {e}")
             }
@@ -444,8 +444,8 @@
         TargetSettings::Engine { memory_mib, .. } => *memory_mib,
         TargetSettings::Service { .. } => 0,
     };
-    let mut ledger = Ledger::new(declared_mib.min(listed.memory_mib), Vec::new());
-    ledger.settle(listed.entries());
+    let mut ledger = Ledger::new(declared_mib.min(inventory.memory_mib), Vec::new());
+    ledger.settle(inventory.entries());
     ledger
 }
 
