--- a/crates/stair-agent/src/admit.rs
+++ b/crates/stair-agent/src/admit.rs
@@ -33,7 +33,7 @@
     },
     msg::Event,
     refuse::{
-        drained_ms,
+        drain_retry_ms,
         engine_down_refusal,
         leaving,
         millis, //
@@ -41,7 +41,7 @@
 };
 
 /// When a caller may come back to another target after this one refused for good.
-pub(crate) const ELSEWHERE_MS: u32 = 100;
+pub(crate) const RETRY_ELSEWHERE_MS: u32 = 100;
 
 impl Core {
     /// Queues an offer or refuses it at once.
@@ -60,7 +60,7 @@
             let _ = events.send(Event::Refused(refusal, self.load(None)));
             return;
         }
-        let checked = match (self.takes_no_work(), self.engine_is_down()) {
+        let checked = match (self.refuses_work(), self.engine_is_down()) {
             (true, _) => Err(leaving()),
             (false, true) => Err(engine_down_refusal()),
             (false, false) => self.item_of(&offer.work),
@@ -82,7 +82,7 @@
     fn item_of(&self, work: &Work) -> Result<Option<Item>, Refusal> {
         let not_granted = |message: &str| {
             let reason = Reason::NotGranted;
-            Err(Refusal::not_run(reason, ELSEWHERE_MS, message))
+            Err(Refusal::not_run(reason, RETRY_ELSEWHERE_MS, message))
         };
         match (work, &self.args.target) {
             (Work::Service { service }, TargetSettings::Service { service: own, .. })
@@ -119,7 +119,7 @@
                     let message = "work of a higher tier took the place";
                     self.refuse_later(id, Reason::Displaced, message);
                 }
-                self.note_arrival(unstarted.key);
+                self.record_arrival(unstarted.key);
                 let load = self.load(self.items.get(unstarted.key));
                 let _ = unstarted.events.send(Event::Queued(load));
                 let id = unstarted.offer.id;
@@ -131,13 +131,13 @@
                 retry_after,
             } => {
                 if !est.ready_in.is_zero() {
-                    self.wake(unstarted.key, unstarted.offer.rank);
+                    self.queue_on_demand(unstarted.key, unstarted.offer.rank);
                 }
                 let message = match reason {
                     Reason::QueueFull => "the queue is full",
                     _ => "the expected finish lies after the deadline",
                 };
-                let refusal = Refusal::not_run(reason, drained_ms(retry_after), message);
+                let refusal = Refusal::not_run(reason, drain_retry_ms(retry_after), message);
                 self.refuse(unstarted, refusal);
             }
         }
@@ -160,12 +160,12 @@
     /// When all callers have less time than the load is expected to take, none would ever wait for
     /// it, and an expectation that is wrong would never be put right. They find it loaded when
     /// they come back.
-    fn wake(&mut self, key: ModelKey, rank: TierRank) {
+    fn queue_on_demand(&mut self, key: ModelKey, rank: TierRank) {
         let Some(item) = self.items.get(key).cloned() else {
             return;
         };
-        if !self.woken.iter().any(|(other, _)| *other == item) {
-            self.woken.push((item, rank));
+        if !self.on_demand.iter().any(|(other, _)| *other == item) {
+            self.on_demand.push((item, rank));
         }
     }
 
--- a/crates/stair-agent/src/control.rs
+++ b/crates/stair-agent/src/control.rs
@@ -53,8 +53,8 @@
         Readers, //
     },
     assignment::InForce,
-    crowding::NoRoom,
     items::Items,
+    memory_pressure::MemoryPressure,
     msg::{
         Arguments,
         Event,
@@ -130,7 +130,7 @@
     pub(crate) unstarted: Vec<Unstarted>,
     pub(crate) active: Vec<Active>,
     pub(crate) pending_offers: Vec<PendingOffer>,
-    pub(crate) no_room: Vec<NoRoom>,
+    pub(crate) memory_pressure: Vec<MemoryPressure>,
     pub(crate) answers: ById<Arc<Answer>>,
     /// Counts the answers that are being read.
     pub(crate) readers: Readers,
@@ -139,7 +139,7 @@
     /// Bytes of all whole answers.
     pub(crate) ended_bytes: u64,
     /// Sorted by item.
-    pub(crate) used: Vec<(Item, Duration)>,
+    pub(crate) last_used: Vec<(Item, Duration)>,
     pub(crate) failures: Vec<Failure>,
     /// Loads under way, with their beginning.
     pub(crate) loading: Vec<(Item, Duration)>,
@@ -147,7 +147,7 @@
     /// When metrics were last sent.
     pub(crate) reported: Duration,
     /// Models whose callers were refused because the load takes too long, with their tier.
-    pub(crate) woken: Vec<(Item, TierRank)>,
+    pub(crate) on_demand: Vec<(Item, TierRank)>,
     /// Orders whose answers are awaited.
     pub(crate) orders: usize,
     pub(crate) listing: bool,
@@ -226,15 +226,15 @@
             unstarted: Vec::new(),
             active: Vec::new(),
             pending_offers: Vec::new(),
-            no_room: Vec::new(),
+            memory_pressure: Vec::new(),
             answers: ById::default(),
             readers: Readers::default(),
             ended: VecDeque::new(),
             ended_bytes: 0,
-            used: Vec::new(),
+            last_used: Vec::new(),
             failures: Vec::new(),
             loading: Vec::new(),
-            woken: Vec::new(),
+            on_demand: Vec::new(),
             keep,
             reported: Duration::ZERO,
             orders: 0,
@@ -314,13 +314,13 @@
         self.reconcile_inventory();
         self.refuse_all_engine_down();
         if self.knows_inventory() && !self.leaving {
-            self.hand_out();
+            self.assign_slots();
         }
         if self.may_order() {
             self.unload_undeclared();
             self.order_loads();
         }
-        self.give_back();
+        self.release_grants();
         self.publish();
     }
 
@@ -339,7 +339,7 @@
     /// Stops taking work. What runs goes on to its end.
     pub(crate) fn leave(&mut self) {
         self.leaving = true;
-        self.refuse_all_leaving();
+        self.refuse_all_draining();
     }
 
     /// Takes no more work while the VM is listed as leaving. Of what the entries say the latest
@@ -351,12 +351,12 @@
         self.vm = notice;
         if notice.is_leaving {
             stair_telemetry::info!(Part::Agent, "the VM is listed as leaving");
-            self.refuse_all_leaving();
+            self.refuse_all_draining();
         }
     }
 
     /// Tells whether new work is refused.
-    pub(crate) fn takes_no_work(&self) -> bool {
+    pub(crate) fn refuses_work(&self) -> bool {
         self.leaving || self.vm.is_leaving
     }
 
@@ -372,7 +372,7 @@
         let revoking = self.in_force.revoking().count();
         let listed: usize = self.in_force.shards().iter().map(|s| s.grants.len()).sum();
         let statement = Statement {
-            crowded: self.crowded(),
+            memory_pressure: self.grants_under_pressure(),
             config: self.in_force.config(),
             shards: self.in_force.versions(),
             released: self.in_force.released().to_vec(),
--- a/crates/stair-agent/src/control_links.rs
+++ b/crates/stair-agent/src/control_links.rs
@@ -276,8 +276,8 @@
     if now.leaving && !said.leaving {
         frame::write_message(tx, &AgentControl::Leaving).await?;
     }
-    if now.crowded != said.crowded {
-        let grants = now.crowded.clone();
+    if now.memory_pressure != said.memory_pressure {
+        let grants = now.memory_pressure.clone();
         frame::write_message(tx, &AgentControl::MemoryPressure { grants }).await?;
     }
     if now.config != said.config {
--- a/crates/stair-agent/src/loads.rs
+++ b/crates/stair-agent/src/loads.rs
@@ -54,9 +54,9 @@
 pub(crate) fn is_current(ledger: &Ledger, in_force: &InForce, item: &Item) -> bool {
     let current = |item: &Item| {
         let entry = ledger.get(item);
-        let held = entry.filter(|e| e.state == State::Loaded);
-        let wanted = declared(in_force, item);
-        matches!((held, wanted), (Some(e), Some((version, _))) if *e.version == *version)
+        let loaded = entry.filter(|e| e.state == State::Loaded);
+        let spec = declared(in_force, item);
+        matches!((loaded, spec), (Some(e), Some((version, _))) if *e.version == *version)
     };
     current(item) && (item.adapter.is_none() || current(&base(item)))
 }
@@ -70,8 +70,8 @@
         }
         let entries = self.ledger.entries().iter();
         let wrong = entries.filter(|e| {
-            let wanted = declared(&self.in_force, &e.item);
-            wanted.is_none_or(|(version, _)| *e.version != *version)
+            let spec = declared(&self.in_force, &e.item);
+            spec.is_none_or(|(version, _)| *e.version != *version)
         });
         let unwanted: Vec<Item> = wrong
             .filter(|e| e.state == State::Loaded && !self.usage(&e.item).busy)
@@ -100,8 +100,8 @@
             let u = self.usage(&item);
             let key = self.items.key(Some(&item));
             // What the engine held before this agent came counts as used when it was first seen.
-            if !self.used.iter().any(|(other, _)| *other == item) {
-                self.touch(Some(&item));
+            if !self.last_used.iter().any(|(other, _)| *other == item) {
+                self.record_use(Some(&item));
                 self.keep.finished(key, now);
             }
             let cost = keep::Cost {
@@ -116,7 +116,7 @@
     }
 
     /// Notes that a request came for a model; its base model is used with an adapter.
-    pub(crate) fn note_arrival(&mut self, key: ModelKey) {
+    pub(crate) fn record_arrival(&mut self, key: ModelKey) {
         let now = self.now();
         for key in self.with_base(key) {
             self.keep.used(key, now);
@@ -124,7 +124,7 @@
     }
 
     /// Notes that a request has ended: the idle time of its model begins.
-    pub(crate) fn note_end(&mut self, key: ModelKey) {
+    pub(crate) fn record_end(&mut self, key: ModelKey) {
         let now = self.now();
         for key in self.with_base(key) {
             self.keep.finished(key, now);
@@ -146,30 +146,30 @@
     /// The first that finds no room holds the others back: smaller models of worse tiers would
     /// take what comes free, and a large one would never be loaded.
     pub(crate) fn order_loads(&mut self) {
-        let mut wanted: Vec<(Item, TierRank, Duration)> = Vec::new();
+        let mut loads: Vec<(Item, TierRank, Duration)> = Vec::new();
         for w in self.queue.iter() {
             let Some(item) = self.items.get(w.model) else {
                 continue;
             };
-            if !wanted.iter().any(|(other, _, _)| other == item) {
-                wanted.push((item.clone(), w.rank, w.deadline));
+            if !loads.iter().any(|(other, _, _)| other == item) {
+                loads.push((item.clone(), w.rank, w.deadline));
             }
         }
-        for (item, rank, deadline) in wanted {
+        for (item, rank, deadline) in loads {
             if !self.try_load(&item, rank, deadline) {
                 return;
             }
         }
-        self.load_woken();
+        self.order_on_demand();
     }
 
     /// Loads what nobody waits for but callers were refused for, into free memory only.
-    fn load_woken(&mut self) {
-        let woken = std::mem::take(&mut self.woken);
-        if self.takes_no_work() {
+    fn order_on_demand(&mut self) {
+        let on_demand = std::mem::take(&mut self.on_demand);
+        if self.refuses_work() {
             return;
         }
-        for (item, rank) in woken {
+        for (item, rank) in on_demand {
             let fits = declared(&self.in_force, &item).is_some_and(|(_, memory_mib)| {
                 let base_mib = declared(&self.in_force, &base(&item)).map_or(0, |(_, mib)| mib);
                 let needed = match item.adapter {
@@ -188,10 +188,10 @@
     pub(crate) fn ready_in(&self, item: &Item) -> Duration {
         let adapter = item.adapter.is_some().then(|| item.clone());
         let needed = std::iter::once(base(item)).chain(adapter);
-        needed.map(|i| self.rest_of_load(&i)).sum()
+        needed.map(|i| self.remaining_load(&i)).sum()
     }
 
-    fn rest_of_load(&self, item: &Item) -> Duration {
+    fn remaining_load(&self, item: &Item) -> Duration {
         if self.ledger.is_loaded(item) {
             return Duration::ZERO;
         }
@@ -218,7 +218,7 @@
         match self.ledger.begin_load(item.clone(), &version, memory_mib) {
             Ok(()) => self.spawn_load(item, version, memory_mib, rank, deadline),
             Err(OrderError::NoRoom { missing_mib }) => {
-                self.make_room(item, rank, missing_mib);
+                self.evict_for(item, rank, missing_mib);
                 return false;
             }
             Err(OrderError::NeverFits) => {
@@ -229,7 +229,7 @@
         true
     }
 
-    fn make_room(&mut self, item: &Item, rank: TierRank, missing_mib: u32) {
+    fn evict_for(&mut self, item: &Item, rank: TierRank, missing_mib: u32) {
         // One round at a time: adapters that go first would otherwise not count, nor their base
         // model be chosen, and a model that is used more would be unloaded in its place.
         let mut entries = self.ledger.entries().iter();
@@ -239,7 +239,7 @@
         let usage = |i: &Item| self.usage(i);
         let chosen = victims::choose(&self.ledger, item, rank, missing_mib, usage);
         if chosen.is_empty() {
-            self.note_no_room(&item.model);
+            self.record_memory_pressure(&item.model);
         }
         for victim in chosen {
             self.unload_group(&victim);
@@ -268,7 +268,7 @@
 
     /// Gives back grants that are being revoked, once the engine surely holds the model no longer
     /// and nothing can load it: a load after the grant was removed would exceed the replicas.
-    pub(crate) fn give_back(&mut self) {
+    pub(crate) fn release_grants(&mut self) {
         if self.relist || self.listing || self.unconfirmed.any() {
             return;
         }
@@ -287,16 +287,19 @@
         }
     }
 
-    pub(crate) fn touch(&mut self, item: Option<&Item>) {
+    pub(crate) fn record_use(&mut self, item: Option<&Item>) {
         let Some(item) = item else {
             return;
         };
         let now = self.now();
         let bases = item.adapter.is_some().then(|| base(item));
         for item in std::iter::once(item.clone()).chain(bases) {
-            match self.used.binary_search_by(|(other, _)| other.cmp(&item)) {
-                Ok(i) => self.used[i].1 = now,
-                Err(at) => self.used.insert(at, (item, now)),
+            match self
+                .last_used
+                .binary_search_by(|(other, _)| other.cmp(&item))
+            {
+                Ok(i) => self.last_used[i].1 = now,
+                Err(at) => self.last_used.insert(at, (item, now)),
             }
         }
     }
@@ -304,20 +307,22 @@
     /// Returns what is known about the use of an item. A base model is used by its adapters.
     pub(crate) fn usage(&self, item: &Item) -> Use {
         let active = self.active.iter().filter_map(|a| a.item.as_ref());
-        let busy = active.into_iter().any(|i| waits_for(Some(i), item));
+        let busy = active.into_iter().any(|i| requires(Some(i), item));
         let items = &self.items;
         let mut waiting = self.queue.iter();
-        let waiting = waiting.find(|w| waits_for(items.get(w.model), item));
-        let at = self.used.binary_search_by(|(other, _)| other.cmp(item));
+        let waiting = waiting.find(|w| requires(items.get(w.model), item));
+        let at = self
+            .last_used
+            .binary_search_by(|(other, _)| other.cmp(item));
         Use {
             busy,
             waiting: waiting.map(|w| w.rank),
-            last_used: at.map_or(Duration::ZERO, |i| self.used[i].1),
+            last_used: at.map_or(Duration::ZERO, |i| self.last_used[i].1),
         }
     }
 }
 
-/// Tells whether work on `needs` cannot go on without `item`.
-pub(crate) fn waits_for(needs: Option<&Item>, item: &Item) -> bool {
-    needs.is_some_and(|n| n.model == item.model && (item.adapter.is_none() || n == item))
+/// Tells whether work on `work` cannot go on without `item`.
+pub(crate) fn requires(work: Option<&Item>, item: &Item) -> bool {
+    work.is_some_and(|n| n.model == item.model && (item.adapter.is_none() || n == item))
 }
--- a/crates/stair-agent/src/msg.rs
+++ b/crates/stair-agent/src/msg.rs
@@ -120,7 +120,7 @@
     pub(crate) shards: Vec<(ShardId, u64)>,
     pub(crate) released: Vec<(ShardId, GrantId)>,
     /// Grants whose models wait for room.
-    pub(crate) crowded: Vec<(ShardId, GrantId)>,
+    pub(crate) memory_pressure: Vec<(ShardId, GrantId)>,
     pub(crate) leaving: bool,
     /// Grants in force.
     pub(crate) granted: usize,
--- a/crates/stair-agent/src/orders.rs
+++ b/crates/stair-agent/src/orders.rs
@@ -26,7 +26,7 @@
         Source, //
     },
     load_slot,
-    loads::waits_for,
+    loads::requires,
     msg::Msg, //
 };
 
@@ -54,7 +54,7 @@
         self.orders += 1;
         self.loads += 1;
         self.loading.push((item.clone(), self.now()));
-        self.touch(Some(item));
+        self.record_use(Some(item));
         let left = deadline.saturating_sub(self.now());
         let request = LoadSlotRequest {
             rank,
@@ -118,7 +118,7 @@
         if outcome == OrderOutcome::Reply(Answer::Done) {
             self.items.loaded(item, took);
             self.failures.retain(|f| f.item != *item);
-            self.touch(Some(item));
+            self.record_use(Some(item));
             let key = self.items.key(Some(item));
             self.keep.finished(key, self.now());
         } else {
@@ -162,7 +162,7 @@
         let finish = retry_at + self.items.load(item);
         let waiting = self.queue.iter().filter(|w| w.deadline < finish);
         let late: Vec<RequestId> = waiting
-            .filter(|w| waits_for(self.items.get(w.model), item))
+            .filter(|w| requires(self.items.get(w.model), item))
             .map(|w| w.key)
             .collect();
         for id in &late {
@@ -172,12 +172,12 @@
     }
 
     pub(crate) fn refuse_waiting(&mut self, item: &Item, message: &str) {
-        let gone = self.take_if(|_, needed| waits_for(Some(needed), item));
-        self.refuse_failed(gone, message);
+        let removed = self.remove_waiting_if(|_, needed| requires(Some(needed), item));
+        self.refuse_failed(removed, message);
     }
 
-    fn refuse_failed(&mut self, gone: Vec<RequestId>, message: &str) {
-        for id in gone {
+    fn refuse_failed(&mut self, removed: Vec<RequestId>, message: &str) {
+        for id in removed {
             let retry = u32::try_from(MAX_RETRY.as_millis()).unwrap_or(u32::MAX);
             let refusal = Refusal::not_run(Reason::LoadFailed, retry, message);
             self.refuse_id(id, refusal);
--- a/crates/stair-agent/src/pending_offers.rs
+++ b/crates/stair-agent/src/pending_offers.rs
@@ -85,6 +85,6 @@
         // At its start the agent reads its grants from the platform, and learns what the models
         // are like from its first entry.
         let unspecified = self.in_force.model(model).is_none() && self.in_force.grants(model);
-        (lags && self.in_force.may_hold(model).is_none() || unspecified) && !self.takes_no_work()
+        (lags && self.in_force.may_hold(model).is_none() || unspecified) && !self.refuses_work()
     }
 }
--- a/crates/stair-agent/src/refuse.rs
+++ b/crates/stair-agent/src/refuse.rs
@@ -11,7 +11,7 @@
 };
 
 use crate::{
-    admit::ELSEWHERE_MS,
+    admit::RETRY_ELSEWHERE_MS,
     control::{
         Core,
         Unstarted, //
@@ -20,7 +20,7 @@
 };
 
 /// When a caller may come back after a request was refused because the agent leaves.
-const LEAVING_MS: u32 = 500;
+const DRAINING_RETRY_MS: u32 = 500;
 
 impl Core {
     /// Refuses what can no longer be answered in time: its caller has to know now.
@@ -34,32 +34,33 @@
 
     /// Refuses what waits for a model that may not be held any more.
     pub(crate) fn refuse_ungranted(&mut self) {
-        let gone = self.take_if(|core, item| core.in_force.may_hold(&item.model).is_none());
-        for id in gone {
+        let ids =
+            self.remove_waiting_if(|core, item| core.in_force.may_hold(&item.model).is_none());
+        for id in ids {
             let message = "the target gives the model back";
-            let refusal = Refusal::not_run(Reason::NotGranted, ELSEWHERE_MS, message);
+            let refusal = Refusal::not_run(Reason::NotGranted, RETRY_ELSEWHERE_MS, message);
             self.refuse_id(id, refusal);
         }
     }
 
     /// Takes the requests out of the queue that wait for certain items.
-    pub(crate) fn take_if<F>(&mut self, gone: F) -> Vec<RequestId>
+    pub(crate) fn remove_waiting_if<F>(&mut self, matches: F) -> Vec<RequestId>
     where
         F: Fn(&Self, &Item) -> bool,
     {
         let waiting = self.queue.iter();
-        let out: Vec<RequestId> = waiting
-            .filter(|w| self.items.get(w.model).is_some_and(|i| gone(self, i)))
+        let ids: Vec<RequestId> = waiting
+            .filter(|w| self.items.get(w.model).is_some_and(|i| matches(self, i)))
             .map(|w| w.key)
             .collect();
-        for id in &out {
+        for id in &ids {
             self.queue.remove(*id);
         }
-        out
+        ids
     }
 
     /// Refuses everything that has not started, also what was told that it can run now.
-    pub(crate) fn refuse_all_leaving(&mut self) {
+    pub(crate) fn refuse_all_draining(&mut self) {
         self.refuse_all(&leaving());
     }
 
@@ -88,7 +89,7 @@
     /// Refuses a request that may come back when the queue has drained.
     pub(crate) fn refuse_later(&mut self, id: RequestId, reason: Reason, message: &str) {
         let drain = self.expected_wait();
-        let refusal = Refusal::not_run(reason, drained_ms(drain), message);
+        let refusal = Refusal::not_run(reason, drain_retry_ms(drain), message);
         self.refuse_id(id, refusal);
     }
 
@@ -120,12 +121,12 @@
 
 /// Says that the agent takes no more work.
 pub(crate) fn leaving() -> Refusal {
-    Refusal::not_run(Reason::Leaving, LEAVING_MS, "the target is leaving")
+    Refusal::not_run(Reason::Leaving, DRAINING_RETRY_MS, "the target is leaving")
 }
 
 /// Returns when the queue has drained. The entry spreads it, so that those who are refused together
 /// do not come back together; to spread it here as well would send them back later than needed.
-pub(crate) fn drained_ms(drain: Duration) -> u32 {
+pub(crate) fn drain_retry_ms(drain: Duration) -> u32 {
     millis(drain.max(backoff::MIN_RETRY_AFTER))
 }
 
--- a/crates/stair-agent/src/report.rs
+++ b/crates/stair-agent/src/report.rs
@@ -34,7 +34,8 @@
         self.reported = now;
         // What was used no more and is gone from the engine is forgotten here as well.
         let ledger = &self.ledger;
-        self.used.retain(|(item, _)| ledger.get(item).is_some());
+        self.last_used
+            .retain(|(item, _)| ledger.get(item).is_some());
         for tier in self.in_force.tiers() {
             let waiting = self.queue.waiting(tier.rank);
             let waiting = u64::try_from(waiting).unwrap_or(u64::MAX);
--- a/crates/stair-agent/src/slots.rs
+++ b/crates/stair-agent/src/slots.rs
@@ -15,7 +15,7 @@
 };
 
 use crate::{
-    admit::ELSEWHERE_MS,
+    admit::RETRY_ELSEWHERE_MS,
     answers::Answer,
     control::{
         Active,
@@ -28,7 +28,7 @@
 };
 
 /// One slot in so many is for short work only.
-const SHORT_PART: usize = 8;
+const SHORT_SLOT_DIVISOR: usize = 8;
 
 /// Bytes of all whole answers kept for a resume.
 const MAX_KEPT_BYTES: u64 = 64 << 20;
@@ -38,9 +38,9 @@
     ///
     /// An eighth of the slots is for short work only: when all are taken by long drafts, a look-up
     /// would wait for one of them to end.
-    pub(crate) fn hand_out(&mut self) {
+    pub(crate) fn assign_slots(&mut self) {
         let (now, slots) = (self.now(), self.slots());
-        let general = slots - slots / SHORT_PART;
+        let general = slots - slots / SHORT_SLOT_DIVISOR;
         while self.active.len() < slots {
             let (ledger, in_force, items) = (&self.ledger, &self.in_force, &self.items);
             let unconfirmed = &self.unconfirmed;
@@ -56,7 +56,7 @@
                 return;
             };
             let item = self.items.get(next.model).cloned();
-            self.touch(item.as_ref());
+            self.record_use(item.as_ref());
             let waited = now.saturating_sub(next.arrived);
             self.args.metrics.latency(Latency::Queued, waited);
             let max_tokens = self.find_unstarted(next.key);
@@ -138,7 +138,7 @@
         }
         if self.runs.withdraw(self.now(), id) == Phase::Withdrawn {
             let message = "the request had not started";
-            let refusal = Refusal::not_run(Reason::LinkLost, ELSEWHERE_MS, message);
+            let refusal = Refusal::not_run(Reason::LinkLost, RETRY_ELSEWHERE_MS, message);
             // The stream of the offer may live still, and learns the same.
             self.queue.remove(id);
             self.refuse_id(id, refusal.clone());
@@ -154,8 +154,8 @@
     pub(crate) fn run_ended(&mut self, id: RequestId, run: Option<Duration>, suspect: bool) {
         if let Some(i) = self.active.iter().position(|a| a.id == id) {
             let ended = self.active.swap_remove(i);
-            self.touch(ended.item.as_ref());
-            self.note_end(ended.key);
+            self.record_use(ended.item.as_ref());
+            self.record_end(ended.key);
             if let Some(run) = run {
                 self.items.ran(ended.key, ended.max_tokens, run);
             }
@@ -166,7 +166,7 @@
             self.ended_bytes += bytes;
             self.ended.push_back(Ended { id, bytes });
         }
-        self.bound_answers();
+        self.trim_responses();
         if suspect {
             self.relist = self.args.engine.is_some();
         }
@@ -184,7 +184,7 @@
 
     /// Forgets the oldest whole answers when all together take too much memory. Each is bounded,
     /// but under load hundreds end in the time for which they are kept, and few are asked for.
-    fn bound_answers(&mut self) {
+    fn trim_responses(&mut self) {
         while self.ended_bytes > MAX_KEPT_BYTES
             && let Some(oldest) = self.ended.front().map(|e| e.id)
         {
--- a/crates/stair-agent/src/victims.rs
+++ b/crates/stair-agent/src/victims.rs
@@ -31,7 +31,7 @@
 /// waiting work. Adapters go before their base; the base follows once they are gone.
 pub fn choose<F>(
     ledger: &Ledger,
-    wanted: &Item,
+    to_load: &Item,
     rank: TierRank,
     missing_mib: u32,
     usage: F,
@@ -42,7 +42,7 @@
     let free = |e: &Entry| {
         let u = usage(&e.item);
         e.state == State::Loaded
-            && e.item.model != wanted.model
+            && e.item.model != to_load.model
             && !u.busy
             && u.waiting.is_none_or(|waiting| waiting > rank)
     };
