--- a/crates/stair-agent/src/admit.rs
+++ b/crates/stair-agent/src/admit.rs
@@ -31,7 +31,7 @@
         Core,
         Unstarted, //
     },
-    msg::Event,
+    msg::OfferEvent,
     refuse::{
         drain_retry_ms,
         engine_down_refusal,
@@ -52,12 +52,12 @@
         &mut self,
         offer: Box<Offer>,
         body: Bytes,
-        events: mpsc::UnboundedSender<Event>,
+        events: mpsc::UnboundedSender<OfferEvent>,
     ) {
         let (now, id) = (self.now(), offer.id);
         if !self.runs.offer(now, id) {
             let refusal = Refusal::may_have_run(Reason::Duplicate, 0, "offered before");
-            let _ = events.send(Event::Refused(refusal, self.load(None)));
+            let _ = events.send(OfferEvent::Refused(refusal, self.load(None)));
             return;
         }
         let checked = match (self.refuses_work(), self.engine_is_down()) {
@@ -121,7 +121,7 @@
                 }
                 self.record_arrival(unstarted.key);
                 let load = self.load(self.items.get(unstarted.key));
-                let _ = unstarted.events.send(Event::Queued(load));
+                let _ = unstarted.events.send(OfferEvent::Queued(load));
                 let id = unstarted.offer.id;
                 let at = self.unstarted.partition_point(|p| p.offer.id < id);
                 self.unstarted.insert(at, unstarted);
--- a/crates/stair-agent/src/control.rs
+++ b/crates/stair-agent/src/control.rs
@@ -48,17 +48,13 @@
 };
 
 use crate::{
-    answers::{
-        Answer,
-        Readers, //
-    },
     assignment::InForce,
     items::Items,
     memory_pressure::MemoryPressure,
     msg::{
         Arguments,
-        Event,
         Msg,
+        OfferEvent,
         Statement, //
     },
     options::{
@@ -67,6 +63,10 @@
     },
     pending_offers::PendingOffer,
     reconcile::UnconfirmedOrders,
+    responses::{
+        ReaderCount,
+        Response, //
+    },
 };
 
 /// Time between the control's own ticks.
@@ -89,7 +89,7 @@
     pub(crate) key: ModelKey,
     pub(crate) deadline: Duration,
     pub(crate) body: Bytes,
-    pub(crate) events: mpsc::UnboundedSender<Event>,
+    pub(crate) events: mpsc::UnboundedSender<OfferEvent>,
 }
 
 /// A request that holds a slot of the target.
@@ -103,7 +103,7 @@
 }
 
 /// A whole answer that is kept for a resume.
-pub(crate) struct Ended {
+pub(crate) struct BufferedResponse {
     pub(crate) id: RequestId,
     pub(crate) bytes: u64,
 }
@@ -131,13 +131,13 @@
     pub(crate) active: Vec<Active>,
     pub(crate) pending_offers: Vec<PendingOffer>,
     pub(crate) memory_pressure: Vec<MemoryPressure>,
-    pub(crate) answers: ById<Arc<Answer>>,
+    pub(crate) responses: ById<Arc<Response>>,
     /// Counts the answers that are being read.
-    pub(crate) readers: Readers,
+    pub(crate) readers: ReaderCount,
     /// Whole answers, the oldest first.
-    pub(crate) ended: VecDeque<Ended>,
+    pub(crate) buffered: VecDeque<BufferedResponse>,
     /// Bytes of all whole answers.
-    pub(crate) ended_bytes: u64,
+    pub(crate) buffered_bytes: u64,
     /// Sorted by item.
     pub(crate) last_used: Vec<(Item, Duration)>,
     pub(crate) failures: Vec<Failure>,
@@ -227,10 +227,10 @@
             active: Vec::new(),
             pending_offers: Vec::new(),
             memory_pressure: Vec::new(),
-            answers: ById::default(),
-            readers: Readers::default(),
-            ended: VecDeque::new(),
-            ended_bytes: 0,
+            responses: ById::default(),
+            readers: ReaderCount::default(),
+            buffered: VecDeque::new(),
+            buffered_bytes: 0,
             last_used: Vec::new(),
             failures: Vec::new(),
             loading: Vec::new(),
--- a/crates/stair-agent/src/dump.rs
+++ b/crates/stair-agent/src/dump.rs
@@ -42,7 +42,8 @@
     /// Requests that hold a slot of the target.
     pub running: Vec<RequestId>,
     /// Answers kept for a resume.
-    pub answers: usize,
+    #[serde(rename = "answers")]
+    pub responses: usize,
     /// Request ids remembered.
     pub runs: usize,
     /// Whether the agent is leaving.
@@ -66,7 +67,7 @@
             waiting: self.queue.iter().map(|w| w.key).collect(),
             waiting_bytes: self.queue.bytes(),
             running: self.active.iter().map(|a| a.id).collect(),
-            answers: self.answers.len(),
+            responses: self.responses.len(),
             runs: self.runs.len(),
             leaving: self.leaving,
             entries: self.args.entries.borrow().len(),
--- a/crates/stair-agent/src/lib.rs
+++ b/crates/stair-agent/src/lib.rs
@@ -1,7 +1,7 @@
 //! The process beside each target, and the only one that orders its engine.
 //!
 //! The way of a request: [`links`] accepts the stream, `offers` reads the offer, `control` decides
-//! when it may run, `run` runs it at the target, `answers` keeps the answer, and `resume` finds it
+//! when it may run, `run` runs it at the target, `responses` keeps the answer, and `resume` finds it
 //! again after a link broke.
 //!
 //! - [`start`]: the whole agent, from the exclusive bind to the end of a graceful stop.
@@ -13,7 +13,6 @@
 #![forbid(unsafe_code)]
 
 mod admit;
-mod answers;
 mod control;
 mod control_links;
 mod engine;
@@ -33,6 +32,7 @@
 mod reconcile;
 mod refuse;
 mod report;
+mod responses;
 mod resume;
 mod run;
 mod slots;
--- a/crates/stair-agent/src/links.rs
+++ b/crates/stair-agent/src/links.rs
@@ -30,7 +30,7 @@
 };
 
 /// Time for the first frame of a stream.
-const FIRST_TIME: Duration = Duration::from_secs(10);
+const FIRST_FRAME_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// Serves all links until the listener is closed.
 pub(crate) async fn serve(listener: Listener, shared: Shared) {
@@ -77,7 +77,7 @@
 
 async fn stream(shared: &Shared, tx: SendStream, mut rx: RecvStream) -> Result<(), frame::Error> {
     let first = frame::read_message(&mut rx);
-    match timeout(FIRST_TIME, first).await {
+    match timeout(FIRST_FRAME_TIMEOUT, first).await {
         Ok(Ok(ToAgent::Offer(offer))) => offers::serve(shared, tx, rx, offer).await,
         Ok(Ok(ToAgent::Resume {
             id,
--- a/crates/stair-agent/src/msg.rs
+++ b/crates/stair-agent/src/msg.rs
@@ -44,7 +44,6 @@
 };
 
 use crate::{
-    answers::Answer,
     assignment::InForce,
     dump::Dump,
     engine::{
@@ -53,6 +52,7 @@
         OrderOutcome,
         Source, //
     },
+    responses::Response,
 };
 
 /// What the control thread is told.
@@ -60,11 +60,11 @@
     Offer {
         offer: Box<Offer>,
         body: Bytes,
-        events: mpsc::UnboundedSender<Event>,
+        events: mpsc::UnboundedSender<OfferEvent>,
     },
     Start {
         id: RequestId,
-        reply: oneshot::Sender<Option<Arc<Answer>>>,
+        reply: oneshot::Sender<Option<Arc<Response>>>,
     },
     Withdraw {
         id: RequestId,
@@ -72,7 +72,7 @@
     Resume {
         id: RequestId,
         incarnation: FencingToken,
-        reply: oneshot::Sender<Result<Arc<Answer>, Refusal>>,
+        reply: oneshot::Sender<Result<Arc<Response>, Refusal>>,
     },
     RunEnded {
         id: RequestId,
@@ -106,10 +106,10 @@
 
 /// What the stream of an offer is told.
 #[derive(Debug)]
-pub(crate) enum Event {
+pub(crate) enum OfferEvent {
     Queued(Load),
     Ready,
-    Started(Arc<Answer>),
+    Started(Arc<Response>),
     Refused(Refusal, Load),
 }
 
--- a/crates/stair-agent/src/offers.rs
+++ b/crates/stair-agent/src/offers.rs
@@ -35,25 +35,25 @@
 };
 
 use crate::{
-    answers::{
-        Answer,
-        Piece, //
-    },
     msg::{
-        Event,
-        Msg, //
+        Msg,
+        OfferEvent, //
+    },
+    responses::{
+        Response,
+        ResponsePart, //
     },
 };
 
 /// Time for the body to follow its offer.
-const BODY_TIME: Duration = Duration::from_secs(10);
+const BODY_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// Time for `Start` to follow `Ready`. The slot stays empty meanwhile, and an entry that lives
 /// answers in one round trip.
-const START_TIME: Duration = Duration::from_secs(2);
+const START_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Time for the last bytes of an answer to be acknowledged.
-const ACK_TIME: Duration = Duration::from_secs(5);
+const ACK_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// What all streams share.
 #[derive(Clone)]
@@ -93,7 +93,7 @@
     mut rx: RecvStream,
     offer: Offer,
 ) -> Result<(), frame::Error> {
-    let body = match timeout(BODY_TIME, frame::read_body(&mut rx)).await {
+    let body = match timeout(BODY_TIMEOUT, frame::read_body(&mut rx)).await {
         Ok(body) => body?,
         Err(_) => return Ok(()),
     };
@@ -123,16 +123,16 @@
             },
         };
         match event {
-            Some(Event::Queued(load)) => {
+            Some(OfferEvent::Queued(load)) => {
                 let incarnation = shared.incarnation;
                 let queued = FromAgent::Queued { incarnation, load };
                 frame::write_message(&mut tx, &queued).await?;
             }
-            Some(Event::Ready) => {
+            Some(OfferEvent::Ready) => {
                 frame::write_message(&mut tx, &FromAgent::Ready).await?;
                 match wait_start(shared, id, &mut from_entry, &mut from_control).await {
-                    Started::Yes(answer) => {
-                        return forward(shared, tx, from_entry, answer, 0).await;
+                    Started::Yes(response) => {
+                        return forward(shared, tx, from_entry, response, 0).await;
                     }
                     Started::Refused(refusal, load) => {
                         return refuse(&mut tx, refusal, load).await;
@@ -140,17 +140,19 @@
                     Started::No => return Ok(()),
                 }
             }
-            Some(Event::Started(answer)) => {
-                return forward(shared, tx, from_entry, answer, 0).await;
+            Some(OfferEvent::Started(response)) => {
+                return forward(shared, tx, from_entry, response, 0).await;
+            }
+            Some(OfferEvent::Refused(refusal, load)) => {
+                return refuse(&mut tx, refusal, load).await;
             }
-            Some(Event::Refused(refusal, load)) => return refuse(&mut tx, refusal, load).await,
             None => return Ok(()),
         }
     }
 }
 
 enum Started {
-    Yes(Arc<Answer>),
+    Yes(Arc<Response>),
     Refused(Refusal, Load),
     No,
 }
@@ -159,7 +161,7 @@
     shared: &Shared,
     id: RequestId,
     from_entry: &mut mpsc::Receiver<ToAgent>,
-    from_control: &mut mpsc::UnboundedReceiver<Event>,
+    from_control: &mut mpsc::UnboundedReceiver<OfferEvent>,
 ) -> Started {
     let next = async {
         tokio::select! {
@@ -167,21 +169,21 @@
             event = from_control.recv() => Err(event),
         }
     };
-    match timeout(START_TIME, next).await {
+    match timeout(START_TIMEOUT, next).await {
         Ok(Ok(Some(ToAgent::Start))) => start(shared, id).await,
-        Ok(Err(Some(Event::Refused(refusal, load)))) => Started::Refused(refusal, load),
+        Ok(Err(Some(OfferEvent::Refused(refusal, load)))) => Started::Refused(refusal, load),
         Ok(_) => Started::No,
         Err(_) => {
             let message = "no start followed";
             let refusal = Refusal::not_run(Reason::Withdrawn, 0, message);
             // The withdrawal has to be certain before the entry reads that nothing ran.
-            let (reply, answer) = oneshot::channel();
+            let (reply, received) = oneshot::channel();
             let _ = shared.control.send_message(Msg::Resume {
                 id,
                 incarnation: shared.incarnation,
                 reply,
             });
-            match answer.await {
+            match received.await {
                 Ok(Err(_)) => Started::Refused(refusal, shared.load(true)),
                 _ => Started::No,
             }
@@ -190,10 +192,10 @@
 }
 
 async fn start(shared: &Shared, id: RequestId) -> Started {
-    let (reply, answer) = oneshot::channel();
+    let (reply, received) = oneshot::channel();
     let _ = shared.control.send_message(Msg::Start { id, reply });
-    match answer.await {
-        Ok(Some(answer)) => Started::Yes(answer),
+    match received.await {
+        Ok(Some(response)) => Started::Yes(response),
         Ok(None) => {
             let message = "the request was withdrawn before it started";
             let refusal = Refusal::not_run(Reason::Withdrawn, 0, message);
@@ -208,17 +210,17 @@
     shared: &Shared,
     mut tx: SendStream,
     mut from_entry: mpsc::Receiver<ToAgent>,
-    answer: Arc<Answer>,
+    response: Arc<Response>,
     offset: u64,
 ) -> Result<(), frame::Error> {
-    let mut reader = answer.read(offset);
+    let mut reader = response.read(offset);
     let mut open = true;
     loop {
-        let piece = tokio::select! {
-            piece = reader.next() => piece,
+        let part = tokio::select! {
+            part = reader.next() => part,
             msg = from_entry.recv(), if open => {
                 match msg {
-                    Some(ToAgent::Cancel) => answer.cancel(),
+                    Some(ToAgent::Cancel) => response.cancel(),
                     Some(_) => {}
                     None => open = false,
                 }
@@ -226,8 +228,8 @@
             }
             _ = tx.stopped() => return Ok(()),
         };
-        match piece {
-            Piece::Head(head) => {
+        match part {
+            ResponsePart::Head(head) => {
                 let head = FromAgent::Head {
                     status: head.status,
                     content_type: head.content_type,
@@ -236,8 +238,8 @@
                 };
                 frame::write_message(&mut tx, &head).await?;
             }
-            Piece::Body(bytes) => frame::write_body(&mut tx, &bytes).await?,
-            Piece::End {
+            ResponsePart::Body(bytes) => frame::write_body(&mut tx, &bytes).await?,
+            ResponsePart::End {
                 total_bytes,
                 run_ms,
             } => {
@@ -250,10 +252,10 @@
                 frame::write_message(&mut tx, &end).await?;
                 return finish(&mut tx).await;
             }
-            Piece::Refused(refusal) => {
+            ResponsePart::Refused(refusal) => {
                 return refuse(&mut tx, refusal, shared.load(true)).await;
             }
-            Piece::Gone => {
+            ResponsePart::Unavailable => {
                 let message = "these bytes of the answer are no longer kept";
                 let refusal = Refusal::may_have_run(Reason::LinkLost, 0, message);
                 return refuse(&mut tx, refusal, shared.load(true)).await;
@@ -275,7 +277,7 @@
 /// and what has not arrived by then is lost.
 async fn finish(tx: &mut SendStream) -> Result<(), frame::Error> {
     let _ = tx.finish();
-    let _ = timeout(ACK_TIME, tx.stopped()).await;
+    let _ = timeout(ACK_TIMEOUT, tx.stopped()).await;
     Ok(())
 }
 
--- a/crates/stair-agent/src/operator.rs
+++ b/crates/stair-agent/src/operator.rs
@@ -23,12 +23,12 @@
 
 /// Asks the control for its state.
 pub(crate) async fn dump(control: &ActorRef<Msg>) -> Option<Dump> {
-    let (reply, answer) = oneshot::channel();
+    let (reply, received) = oneshot::channel();
     control.send_message(Msg::Dump { reply }).ok()?;
-    answer.await.ok()
+    received.await.ok()
 }
 
-type BoxedAnswer<T> = Pin<Box<dyn Future<Output = T> + Send>>;
+type BoxedReply<T> = Pin<Box<dyn Future<Output = T> + Send>>;
 
 /// Serves the operator until `stop` turns true.
 pub(crate) async fn serve(
@@ -39,15 +39,15 @@
 ) {
     let for_status = control.clone();
     let routes = operator::Routes {
-        status: move || -> BoxedAnswer<Value> {
+        status: move || -> BoxedReply<Value> {
             let control = for_status.clone();
             Box::pin(async move { dump(&control).await.map_or(Value::Null, |d| status(&d)) })
         },
-        dump: move || -> BoxedAnswer<Value> {
+        dump: move || -> BoxedReply<Value> {
             let control = control.clone();
             Box::pin(async move { json!(dump(&control).await) })
         },
-        drain: move || -> BoxedAnswer<()> {
+        drain: move || -> BoxedReply<()> {
             drain.send_replace(true);
             Box::pin(std::future::ready(()))
         },
--- a/crates/stair-agent/src/pending_offers.rs
+++ b/crates/stair-agent/src/pending_offers.rs
@@ -16,7 +16,7 @@
 
 use crate::{
     control::Core,
-    msg::Event, //
+    msg::OfferEvent, //
 };
 
 /// How long an offer waits for its assignment. Both come from entries that hear of a grant within
@@ -32,7 +32,7 @@
 pub(crate) struct PendingOffer {
     offer: Box<Offer>,
     body: Bytes,
-    events: mpsc::UnboundedSender<Event>,
+    events: mpsc::UnboundedSender<OfferEvent>,
     until: Duration,
 }
 
@@ -42,7 +42,7 @@
         &mut self,
         offer: Box<Offer>,
         body: Bytes,
-        events: mpsc::UnboundedSender<Event>,
+        events: mpsc::UnboundedSender<OfferEvent>,
     ) {
         if !self.awaits_assignment(&offer) || self.pending_offers.len() >= MAX_PENDING_OFFERS {
             self.admit(offer, body, events);
--- a/crates/stair-agent/src/refuse.rs
+++ b/crates/stair-agent/src/refuse.rs
@@ -16,7 +16,7 @@
         Core,
         Unstarted, //
     },
-    msg::Event, //
+    msg::OfferEvent, //
 };
 
 /// When a caller may come back after a request was refused because the agent leaves.
@@ -99,7 +99,7 @@
         self.runs.withdraw(self.now(), id);
         self.active.retain(|a| a.id != id || a.started);
         let load = self.load(self.items.get(unstarted.key));
-        let _ = unstarted.events.send(Event::Refused(refusal, load));
+        let _ = unstarted.events.send(OfferEvent::Refused(refusal, load));
     }
 
     pub(crate) fn find_unstarted(&self, id: RequestId) -> Result<usize, usize> {
--- a/crates/stair-agent/src/answers.rs
+++ b/crates/stair-agent/src/responses.rs
@@ -33,14 +33,14 @@
 
 /// How a run ended.
 #[derive(Debug, Clone)]
-pub(crate) enum Ended {
+pub(crate) enum RunOutcome {
     Complete { run_ms: u32 },
     Refused(Refusal),
 }
 
 /// What a reader gets next.
 #[derive(Debug)]
-pub(crate) enum Piece {
+pub(crate) enum ResponsePart {
     Head(Head),
     Body(Bytes),
     End {
@@ -49,49 +49,49 @@
     },
     Refused(Refusal),
     /// Another stream has taken up the answer, or the bytes are no longer kept.
-    Gone,
+    Unavailable,
 }
 
 #[derive(Debug, Default)]
-struct Kept {
+struct Buffer {
     head: Option<Head>,
     chunks: VecDeque<Bytes>,
     /// The offset of the first byte kept.
-    from: u64,
+    start: u64,
     /// The bytes of the whole answer so far.
-    total: u64,
+    total_bytes: u64,
     /// What the present reader has passed on.
     read: u64,
-    ended: Option<Ended>,
+    outcome: Option<RunOutcome>,
     /// Rises with each reader; an older one is gone.
     reader: u64,
 }
 
 /// One run's answer.
 #[derive(Debug)]
-pub(crate) struct Answer {
-    kept: Mutex<Kept>,
+pub(crate) struct Response {
+    buffer: Mutex<Buffer>,
     max_bytes: u64,
     changed: watch::Sender<u64>,
     attached: watch::Sender<bool>,
     cancelled: watch::Sender<bool>,
-    readers: Readers,
+    readers: ReaderCount,
 }
 
 /// Counts the answers that are being read. Cloning shares the count.
 #[derive(Debug, Clone, Default)]
-pub(crate) struct Readers(Arc<AtomicUsize>);
+pub(crate) struct ReaderCount(Arc<AtomicUsize>);
 
-impl Readers {
+impl ReaderCount {
     pub(crate) fn count(&self) -> usize {
         self.0.load(Ordering::Relaxed)
     }
 }
 
-impl Answer {
-    pub(crate) fn new(max_bytes: u64, readers: Readers) -> Arc<Self> {
+impl Response {
+    pub(crate) fn new(max_bytes: u64, readers: ReaderCount) -> Arc<Self> {
         Arc::new(Self {
-            kept: Mutex::default(),
+            buffer: Mutex::default(),
             max_bytes,
             changed: watch::Sender::new(0),
             attached: watch::Sender::new(false),
@@ -101,72 +101,72 @@
     }
 
     pub(crate) fn head(&self, head: Head) {
-        self.kept().head = Some(head);
-        self.wake();
+        self.buffer().head = Some(head);
+        self.notify();
     }
 
     /// Keeps a piece of the body; waits when the reader is so far behind that more would exceed
     /// the limit. That holds back the target rather than filling the agent's memory.
     pub(crate) async fn push(&self, chunk: Bytes) {
         let mut changed = self.changed.subscribe();
-        while !self.make_room(chunk.len() as u64) {
+        while !self.evict_read(chunk.len() as u64) {
             if changed.changed().await.is_err() {
                 return;
             }
         }
         {
-            let mut kept = self.kept();
-            kept.total += chunk.len() as u64;
-            kept.chunks.push_back(chunk);
+            let mut buffer = self.buffer();
+            buffer.total_bytes += chunk.len() as u64;
+            buffer.chunks.push_back(chunk);
         }
-        self.wake();
+        self.notify();
     }
 
-    fn make_room(&self, bytes: u64) -> bool {
-        let mut kept = self.kept();
-        while kept.total - kept.from + bytes > self.max_bytes {
-            let Some(first) = kept.chunks.front().map(|c| c.len() as u64) else {
+    fn evict_read(&self, bytes: u64) -> bool {
+        let mut buffer = self.buffer();
+        while buffer.total_bytes - buffer.start + bytes > self.max_bytes {
+            let Some(first) = buffer.chunks.front().map(|c| c.len() as u64) else {
                 return true;
             };
-            if kept.from + first > kept.read {
+            if buffer.start + first > buffer.read {
                 return false;
             }
-            kept.chunks.pop_front();
-            kept.from += first;
+            buffer.chunks.pop_front();
+            buffer.start += first;
         }
         true
     }
 
-    pub(crate) fn end(&self, ended: Ended) {
-        self.kept().ended.get_or_insert(ended);
-        self.wake();
+    pub(crate) fn end(&self, outcome: RunOutcome) {
+        self.buffer().outcome.get_or_insert(outcome);
+        self.notify();
     }
 
     /// Takes up the answer at an offset; a reader before this one is gone.
     pub(crate) fn read(self: &Arc<Self>, offset: u64) -> Reader {
-        let mut kept = self.kept();
-        kept.reader += 1;
-        kept.read = offset;
-        self.attach(true);
-        let number = kept.reader;
-        drop(kept);
-        self.wake();
+        let mut buffer = self.buffer();
+        buffer.reader += 1;
+        buffer.read = offset;
+        self.set_attached(true);
+        let number = buffer.reader;
+        drop(buffer);
+        self.notify();
         Reader {
-            answer: self.clone(),
+            response: self.clone(),
             number,
             offset,
             head_sent: false,
         }
     }
 
-    /// Waits until nobody has read the answer for `keep`.
-    pub(crate) async fn abandoned(&self, keep: Duration) {
+    /// Waits until nobody has read the answer for `ttl`.
+    pub(crate) async fn abandoned(&self, ttl: Duration) {
         let mut attached = self.attached.subscribe();
         loop {
             if attached.wait_for(|a| !a).await.is_err() {
                 return;
             }
-            if timeout(keep, attached.wait_for(|a| *a)).await.is_err() {
+            if timeout(ttl, attached.wait_for(|a| *a)).await.is_err() {
                 return;
             }
         }
@@ -174,12 +174,12 @@
 
     /// Returns the bytes kept.
     pub(crate) fn bytes(&self) -> u64 {
-        let kept = self.kept();
-        kept.total - kept.from
+        let buffer = self.buffer();
+        buffer.total_bytes - buffer.start
     }
 
-    /// Notes whether somebody reads the answer; called with `kept` locked.
-    fn attach(&self, attached: bool) {
+    /// Notes whether somebody reads the answer; called with `buffer` locked.
+    fn set_attached(&self, attached: bool) {
         let before = self.attached.send_replace(attached);
         match (before, attached) {
             (false, true) => self.readers.0.fetch_add(1, Ordering::Relaxed),
@@ -196,19 +196,19 @@
         let _ = self.cancelled.subscribe().wait_for(|c| *c).await;
     }
 
-    fn wake(&self) {
+    fn notify(&self) {
         self.changed.send_modify(|n| *n += 1);
     }
 
-    fn kept(&self) -> MutexGuard<'_, Kept> {
-        self.kept.lock().unwrap_or_else(PoisonError::into_inner)
+    fn buffer(&self) -> MutexGuard<'_, Buffer> {
+        self.buffer.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
 /// Reads an answer from an offset to its end.
 #[derive(Debug)]
 pub(crate) struct Reader {
-    answer: Arc<Answer>,
+    response: Arc<Response>,
     number: u64,
     offset: u64,
     head_sent: bool,
@@ -219,60 +219,63 @@
         self.offset
     }
 
-    pub(crate) async fn next(&mut self) -> Piece {
-        let answer = self.answer.clone();
-        let mut changed = answer.changed.subscribe();
+    pub(crate) async fn next(&mut self) -> ResponsePart {
+        let response = self.response.clone();
+        let mut changed = response.changed.subscribe();
         loop {
-            if let Some(piece) = self.take() {
-                return piece;
+            if let Some(part) = self.take() {
+                return part;
             }
             if changed.changed().await.is_err() {
-                return Piece::Gone;
+                return ResponsePart::Unavailable;
             }
         }
     }
 
-    fn take(&mut self) -> Option<Piece> {
-        let mut kept = self.answer.kept();
-        if kept.reader != self.number || self.offset < kept.from || self.offset > kept.total {
-            return Some(Piece::Gone);
+    fn take(&mut self) -> Option<ResponsePart> {
+        let mut buffer = self.response.buffer();
+        if buffer.reader != self.number
+            || self.offset < buffer.start
+            || self.offset > buffer.total_bytes
+        {
+            return Some(ResponsePart::Unavailable);
         }
         if !self.head_sent
-            && let Some(head) = &kept.head
+            && let Some(head) = &buffer.head
         {
             self.head_sent = true;
-            return Some(Piece::Head(head.clone()));
+            return Some(ResponsePart::Head(head.clone()));
         }
-        if self.offset < kept.total {
-            let piece = piece_at(&kept, self.offset);
-            self.offset += piece.len() as u64;
-            kept.read = self.offset;
-            drop(kept);
-            self.answer.wake();
-            return Some(Piece::Body(piece));
+        if self.offset < buffer.total_bytes {
+            let part = bytes_at(&buffer, self.offset);
+            self.offset += part.len() as u64;
+            buffer.read = self.offset;
+            drop(buffer);
+            self.response.notify();
+            return Some(ResponsePart::Body(part));
         }
-        match kept.ended.clone()? {
-            Ended::Complete { run_ms } => Some(Piece::End {
-                total_bytes: kept.total,
+        match buffer.outcome.clone()? {
+            RunOutcome::Complete { run_ms } => Some(ResponsePart::End {
+                total_bytes: buffer.total_bytes,
                 run_ms,
             }),
-            Ended::Refused(refusal) => Some(Piece::Refused(refusal)),
+            RunOutcome::Refused(refusal) => Some(ResponsePart::Refused(refusal)),
         }
     }
 }
 
 impl Drop for Reader {
     fn drop(&mut self) {
-        let kept = self.answer.kept();
-        if kept.reader == self.number {
-            self.answer.attach(false);
+        let buffer = self.response.buffer();
+        if buffer.reader == self.number {
+            self.response.set_attached(false);
         }
     }
 }
 
-fn piece_at(kept: &Kept, offset: u64) -> Bytes {
-    let mut at = kept.from;
-    for chunk in &kept.chunks {
+fn bytes_at(buffer: &Buffer, offset: u64) -> Bytes {
+    let mut at = buffer.start;
+    for chunk in &buffer.chunks {
         let end = at + chunk.len() as u64;
         if offset < end {
             return chunk.slice((offset - at) as usize..);
--- a/crates/stair-agent/src/resume.rs
+++ b/crates/stair-agent/src/resume.rs
@@ -39,7 +39,7 @@
         reply,
     });
     match found.await {
-        Ok(Ok(answer)) => forward(shared, tx, messages(rx), answer, offset).await,
+        Ok(Ok(response)) => forward(shared, tx, messages(rx), response, offset).await,
         Ok(Err(refusal)) => refuse(&mut tx, refusal, shared.load(false)).await,
         Err(_) => Ok(()),
     }
--- a/crates/stair-agent/src/run.rs
+++ b/crates/stair-agent/src/run.rs
@@ -32,12 +32,12 @@
 use tokio::time::Instant;
 
 use crate::{
-    answers::{
-        Answer,
-        Ended,
-        Head, //
-    },
-    msg::Msg, //
+    msg::Msg,
+    responses::{
+        Head,
+        Response,
+        RunOutcome, //
+    }, //
 };
 
 /// The header that carries the agent's incarnation to the target.
@@ -54,7 +54,7 @@
     pub(crate) offer: Box<Offer>,
     pub(crate) body: Bytes,
     pub(crate) time_left: Duration,
-    pub(crate) answer: Arc<Answer>,
+    pub(crate) response: Arc<Response>,
     pub(crate) client: Client,
     pub(crate) incarnation: FencingToken,
     pub(crate) limits: AgentLimits,
@@ -73,31 +73,31 @@
 /// A broken link does not end the run: the entry takes the answer up again on a new link. Only
 /// when nobody does for a while, the run is cancelled by closing the target's connection.
 pub(crate) async fn run(job: Job) {
-    let keep = Duration::from_millis(job.limits.keep_answer_ms.into());
+    let ttl = Duration::from_millis(job.limits.keep_answer_ms.into());
     let began = Instant::now();
-    let (id, answer, control) = (job.offer.id, job.answer.clone(), job.control.clone());
+    let (id, response, control) = (job.offer.id, job.response.clone(), job.control.clone());
     let time_left = job.time_left;
-    let gave_up = |reason, message: &str| {
+    let abort = |reason, message: &str| {
         Err(Failed {
             refusal: Refusal::may_have_run(reason, 0, message),
             suspect: false,
         })
     };
     let result = tokio::select! {
-        result = at_target(job) => result,
-        () = answer.cancelled() => gave_up(Reason::Withdrawn, "the request was withdrawn"),
-        () = answer.abandoned(keep) => gave_up(Reason::LinkLost, "nobody took the answer up"),
+        result = send_to_target(job) => result,
+        () = response.cancelled() => abort(Reason::Withdrawn, "the request was withdrawn"),
+        () = response.abandoned(ttl) => abort(Reason::LinkLost, "nobody took the answer up"),
         () = tokio::time::sleep(time_left) => {
-            gave_up(Reason::DeadlinePassed, "the deadline passed during the run")
+            abort(Reason::DeadlinePassed, "the deadline passed during the run")
         }
     };
     let run = began.elapsed();
     let run_ms = u32::try_from(run.as_millis()).unwrap_or(u32::MAX);
     let complete = result.is_ok();
     let suspect = result.as_ref().is_err_and(|f| f.suspect);
-    answer.end(match result {
-        Ok(()) => Ended::Complete { run_ms },
-        Err(failed) => Ended::Refused(failed.refusal),
+    response.end(match result {
+        Ok(()) => RunOutcome::Complete { run_ms },
+        Err(e) => RunOutcome::Refused(e.refusal),
     });
     let _ = control.send_message(Msg::RunEnded {
         id,
@@ -106,13 +106,13 @@
         suspect,
     });
     tokio::select! {
-        () = answer.abandoned(keep) => {}
-        () = answer.cancelled() => {}
+        () = response.abandoned(ttl) => {}
+        () = response.cancelled() => {}
     }
     let _ = control.send_message(Msg::Forget { id });
 }
 
-async fn at_target(job: Job) -> Result<(), Failed> {
+async fn send_to_target(job: Job) -> Result<(), Failed> {
     let silence = Duration::from_millis(job.limits.target_silence_ms.into());
     let mut req = Request::builder()
         .method(&*job.offer.method)
@@ -129,7 +129,11 @@
         refusal: Refusal::not_run(Reason::Invalid, 0, "the request cannot be sent"),
         suspect: false,
     })?;
-    let mut resp = job.client.send(req, silence).await.map_err(failed)?;
+    let mut resp = job
+        .client
+        .send(req, silence)
+        .await
+        .map_err(target_failure)?;
     let status = resp.head.status;
     // The engine lost the model, by a restart for instance. It says so before it runs anything.
     if job.is_engine && status == StatusCode::NOT_FOUND {
@@ -141,19 +145,19 @@
     }
     let content_type = resp.head.headers.get(CONTENT_TYPE);
     let content_type = content_type.and_then(|v| v.to_str().ok());
-    job.answer.head(Head {
+    job.response.head(Head {
         status: status.as_u16(),
         content_type: content_type.unwrap_or("application/octet-stream").into(),
-        headers: passed_on(&resp.head.headers),
+        headers: forwarded_headers(&resp.head.headers),
     });
-    while let Some(chunk) = resp.chunk(silence).await.map_err(failed)? {
-        job.answer.push(chunk).await;
+    while let Some(chunk) = resp.chunk(silence).await.map_err(target_failure)? {
+        job.response.push(chunk).await;
     }
     Ok(())
 }
 
 /// Headers that belong to the target's connection or travel in fields of their own.
-const NOT_PASSED_ON: [&str; 9] = [
+const NOT_FORWARDED: [&str; 9] = [
     "connection",
     "content-length",
     "content-type",
@@ -168,13 +172,13 @@
 /// Bytes of headers passed on; a target cannot make a message exceed its frame by more.
 const MAX_HEADER_BYTES: usize = 16 << 10;
 
-fn passed_on(headers: &HeaderMap) -> Vec<Header> {
+fn forwarded_headers(headers: &HeaderMap) -> Vec<Header> {
     let mut bytes = 0;
     let mut out = Vec::new();
     for (name, value) in headers {
         let own = name.as_str().starts_with("dandelionstair-");
-        let ends_here = own || NOT_PASSED_ON.binary_search(&name.as_str()).is_ok();
-        let (false, Ok(value)) = (ends_here, value.to_str()) else {
+        let is_dropped = own || NOT_FORWARDED.binary_search(&name.as_str()).is_ok();
+        let (false, Ok(value)) = (is_dropped, value.to_str()) else {
             continue;
         };
         bytes += name.as_str().len() + value.len();
@@ -189,7 +193,7 @@
     out
 }
 
-fn failed(e: HttpError) -> Failed {
+fn target_failure(e: HttpError) -> Failed {
     let refusal = match e.verdict() {
         Verdict::NotRun => Refusal::not_run(
             Reason::TargetFailed,
--- a/crates/stair-agent/src/slots.rs
+++ b/crates/stair-agent/src/slots.rs
@@ -16,14 +16,14 @@
 
 use crate::{
     admit::RETRY_ELSEWHERE_MS,
-    answers::Answer,
     control::{
         Active,
-        Core,
-        Ended, //
+        BufferedResponse,
+        Core, //
     },
     loads::is_current,
-    msg::Event,
+    msg::OfferEvent,
+    responses::Response,
     run, //
 };
 
@@ -31,7 +31,7 @@
 const SHORT_SLOT_DIVISOR: usize = 8;
 
 /// Bytes of all whole answers kept for a resume.
-const MAX_KEPT_BYTES: u64 = 64 << 20;
+const MAX_BUFFERED_BYTES: u64 = 64 << 20;
 
 impl Core {
     /// Gives free slots to the first requests whose model is loaded.
@@ -79,16 +79,16 @@
         };
         let events = self.unstarted[i].events.clone();
         if !self.unstarted[i].offer.start_when_ready {
-            let _ = events.send(Event::Ready);
+            let _ = events.send(OfferEvent::Ready);
             return;
         }
-        if let Some(answer) = self.start(id) {
-            let _ = events.send(Event::Started(answer));
+        if let Some(response) = self.start(id) {
+            let _ = events.send(OfferEvent::Started(response));
         }
     }
 
     /// Runs a request that holds a slot, at most once.
-    pub(crate) fn start(&mut self, id: RequestId) -> Option<Arc<Answer>> {
+    pub(crate) fn start(&mut self, id: RequestId) -> Option<Arc<Response>> {
         let slot = self.active.iter().position(|a| a.id == id && !a.started)?;
         let at = self.find_unstarted(id).ok()?;
         if !self.runs.start(id) {
@@ -97,13 +97,13 @@
         self.active[slot].started = true;
         let unstarted = self.unstarted.remove(at);
         let max_bytes = self.args.limits.max_answer_bytes.into();
-        let answer = Answer::new(max_bytes, self.readers.clone());
-        self.answers.insert(id, answer.clone());
+        let response = Response::new(max_bytes, self.readers.clone());
+        self.responses.insert(id, response.clone());
         let job = run::Job {
             time_left: unstarted.deadline.saturating_sub(self.now()),
             offer: unstarted.offer,
             body: unstarted.body,
-            answer: answer.clone(),
+            response: response.clone(),
             client: self.args.client.clone(),
             incarnation: self.args.incarnation,
             limits: self.args.limits.clone(),
@@ -111,7 +111,7 @@
             control: self.me.clone(),
         };
         self.args.traffic.spawn(run::run(job));
-        Some(answer)
+        Some(response)
     }
 
     /// Makes sure that a request that has not started never does.
@@ -131,7 +131,7 @@
         &mut self,
         id: RequestId,
         incarnation: FencingToken,
-    ) -> Result<Arc<Answer>, Refusal> {
+    ) -> Result<Arc<Response>, Refusal> {
         if incarnation != self.args.incarnation {
             let message = "the agent was replaced during the run";
             return Err(Refusal::may_have_run(Reason::LinkLost, 0, message));
@@ -144,7 +144,7 @@
             self.refuse_id(id, refusal.clone());
             return Err(refusal);
         }
-        self.answers.get(id).cloned().ok_or_else(|| {
+        self.responses.get(id).cloned().ok_or_else(|| {
             let message = "the answer is no longer kept";
             Refusal::may_have_run(Reason::LinkLost, 0, message)
         })
@@ -161,10 +161,10 @@
             }
         }
         self.runs.end(self.now(), id);
-        if let Some(answer) = self.answers.get(id) {
-            let bytes = answer.bytes();
-            self.ended_bytes += bytes;
-            self.ended.push_back(Ended { id, bytes });
+        if let Some(response) = self.responses.get(id) {
+            let bytes = response.bytes();
+            self.buffered_bytes += bytes;
+            self.buffered.push_back(BufferedResponse { id, bytes });
         }
         self.trim_responses();
         if suspect {
@@ -174,22 +174,22 @@
 
     pub(crate) fn forget(&mut self, id: RequestId) {
         // Answers are kept for the same time, so the one to forget is among the oldest.
-        if let Some(i) = self.ended.iter().position(|e| e.id == id)
-            && let Some(ended) = self.ended.remove(i)
+        if let Some(i) = self.buffered.iter().position(|e| e.id == id)
+            && let Some(ended) = self.buffered.remove(i)
         {
-            self.ended_bytes -= ended.bytes;
+            self.buffered_bytes -= ended.bytes;
         }
-        self.answers.remove(id);
+        self.responses.remove(id);
     }
 
     /// Forgets the oldest whole answers when all together take too much memory. Each is bounded,
     /// but under load hundreds end in the time for which they are kept, and few are asked for.
     fn trim_responses(&mut self) {
-        while self.ended_bytes > MAX_KEPT_BYTES
-            && let Some(oldest) = self.ended.front().map(|e| e.id)
+        while self.buffered_bytes > MAX_BUFFERED_BYTES
+            && let Some(oldest) = self.buffered.front().map(|e| e.id)
         {
-            if let Some(answer) = self.answers.get(oldest) {
-                answer.cancel();
+            if let Some(response) = self.responses.get(oldest) {
+                response.cancel();
             }
             self.forget(oldest);
         }
--- a/crates/stair-agent/tests/once.rs
+++ b/crates/stair-agent/tests/once.rs
@@ -145,7 +145,7 @@
 
     link.close();
 
-    until(&agent, |d| d.running.is_empty() && d.answers == 0).await;
+    until(&agent, |d| d.running.is_empty() && d.responses == 0).await;
 }
 
 // The entry says `Cancel`, because its caller went away, while the engine computes.
