--- a/crates/stair-agent/src/admit.rs
+++ b/crates/stair-agent/src/admit.rs
@@ -34,8 +34,8 @@
     msg::OfferEvent,
     refuse::{
         drain_retry_ms,
+        draining_refusal,
         engine_down_refusal,
-        leaving,
         millis, //
     },
 };
@@ -61,7 +61,7 @@
             return;
         }
         let checked = match (self.refuses_work(), self.engine_is_down()) {
-            (true, _) => Err(leaving()),
+            (true, _) => Err(draining_refusal()),
             (false, true) => Err(engine_down_refusal()),
             (false, false) => self.item_of(&offer.work),
         };
--- a/crates/stair-agent/src/assignment.rs
+++ b/crates/stair-agent/src/assignment.rs
@@ -49,16 +49,16 @@
     }
 
     /// Takes over what is newer and returns whether anything was.
-    pub fn take(&mut self, new: Assignment) -> bool {
-        let mut changed = self.take_config(&new);
+    pub fn apply(&mut self, new: Assignment) -> bool {
+        let mut changed = self.apply_config(&new);
         for shard in new.shards {
-            changed |= self.take_shard(shard);
+            changed |= self.apply_shard(shard);
         }
-        self.forget_models();
+        self.drop_ungranted_models();
         changed
     }
 
-    fn take_config(&mut self, new: &Assignment) -> bool {
+    fn apply_config(&mut self, new: &Assignment) -> bool {
         if new.config < self.config {
             return false;
         }
@@ -67,7 +67,7 @@
             self.tiers = new.tiers.clone();
             self.policy = new.policy.clone();
             self.service = new.service.clone();
-            self.take_models(&new.models);
+            self.merge_models(&new.models);
             return true;
         }
         // Entries that know different shards name different models of one configuration.
@@ -86,7 +86,7 @@
     /// The entry that sends it may not know yet of a model that another entry's assignment
     /// granted, and will not send it again when only others' models have changed since. So what
     /// it does not name stays.
-    fn take_models(&mut self, new: &[Model]) {
+    fn merge_models(&mut self, new: &[Model]) {
         for model in new {
             match self.models.binary_search_by(|m| m.name.cmp(&model.name)) {
                 Ok(i) => self.models[i] = model.clone(),
@@ -96,7 +96,7 @@
     }
 
     /// Forgets the specifications of models that no grant names.
-    fn forget_models(&mut self) {
+    fn drop_ungranted_models(&mut self) {
         let shards = &self.shards;
         self.models.retain(|m| {
             let mut grants = shards.iter().flat_map(|s| &s.grants);
@@ -104,7 +104,7 @@
         });
     }
 
-    fn take_shard(&mut self, new: ShardAssignment) -> bool {
+    fn apply_shard(&mut self, new: ShardAssignment) -> bool {
         match self.shards.binary_search_by_key(&new.shard, |s| s.shard) {
             Ok(i) if self.shards[i].version >= new.version => return false,
             Ok(i) => self.shards[i] = new,
--- a/crates/stair-agent/src/learn.rs
+++ b/crates/stair-agent/src/bootstrap.rs
@@ -23,41 +23,41 @@
     ShardAssignment, //
 };
 
-use crate::incarnation::Pause;
+use crate::incarnation::Backoff;
 
 /// Reads the shards' versions and the target's grants.
-pub(crate) async fn grants<S>(store: &S, target: &TargetName) -> Vec<ShardAssignment>
+pub(crate) async fn list_grants<S>(store: &S, target: &TargetName) -> Vec<ShardAssignment>
 where
     S: ObjectStore,
 {
-    let objects = list(store, Kind::Grants).await;
+    let objects = list_objects(store, Kind::Grants).await;
     let shards = objects.iter().filter_map(|o| shard(o, target));
     shards.collect()
 }
 
 /// Reads the live entries.
-pub(crate) async fn entries<S>(store: &S) -> Vec<EntryAddress>
+pub(crate) async fn list_entries<S>(store: &S) -> Vec<EntryAddress>
 where
     S: ObjectStore,
 {
-    let objects = list(store, Kind::Vm).await;
+    let objects = list_objects(store, Kind::Vm).await;
     let mut entries: Vec<EntryAddress> = objects.iter().filter_map(entry).collect();
     entries.sort_by(|a, b| a.name.cmp(&b.name));
     entries
 }
 
-async fn list<S>(store: &S, kind: Kind) -> Vec<Object>
+async fn list_objects<S>(store: &S, kind: Kind) -> Vec<Object>
 where
     S: ObjectStore,
 {
-    let mut pause = Pause::default();
+    let mut backoff = Backoff::default();
     loop {
         match store.list(kind).await {
             Ok(page) => return page.events.into_iter().filter_map(put).collect(),
             Err(Error::NotFound) => return Vec::new(),
             Err(e) => stair_telemetry::warn!(Part::Platform, "cannot list {}: {e}", kind.as_str()),
         }
-        pause.wait().await;
+        backoff.wait().await;
     }
 }
 
--- a/crates/stair-agent/src/control.rs
+++ b/crates/stair-agent/src/control.rs
@@ -52,13 +52,13 @@
     items::Items,
     memory_pressure::MemoryPressure,
     msg::{
+        AgentReport,
         Arguments,
         Msg,
-        OfferEvent,
-        Statement, //
+        OfferEvent, //
     },
     options::{
-        keep_options,
+        keep_alive_options,
         queue_options, //
     },
     pending_offers::PendingOffer,
@@ -70,15 +70,15 @@
 };
 
 /// Time between the control's own ticks.
-const TICK: Duration = Duration::from_millis(100);
+const TICK_INTERVAL: Duration = Duration::from_millis(100);
 
 /// A process that was paused finds a gap between its ticks. Meanwhile another agent may have
 /// ordered the engine, so its list is read before the next order. A busy machine delays ticks by
 /// less than this.
-const PAUSED: Duration = Duration::from_secs(1);
+const PAUSE_THRESHOLD: Duration = Duration::from_secs(1);
 
 /// The incarnation that no other agent came before.
-const FIRST: FencingToken = FencingToken(1);
+const FIRST_INCARNATION: FencingToken = FencingToken(1);
 
 /// The actor.
 pub(crate) struct Control;
@@ -119,7 +119,7 @@
 pub(crate) struct Core {
     pub(crate) me: ActorRef<Msg>,
     pub(crate) args: Arguments,
-    pub(crate) began: Instant,
+    pub(crate) started_at: Instant,
     pub(crate) in_force: InForce,
     pub(crate) ledger: Ledger,
     pub(crate) runs: RunTable,
@@ -143,9 +143,9 @@
     pub(crate) failures: Vec<Failure>,
     /// Loads under way, with their beginning.
     pub(crate) loading: Vec<(Item, Duration)>,
-    pub(crate) keep: Keep,
+    pub(crate) keep_alive: Keep,
     /// When metrics were last sent.
-    pub(crate) reported: Duration,
+    pub(crate) metrics_emitted: Duration,
     /// Models whose callers were refused because the load takes too long, with their tier.
     pub(crate) on_demand: Vec<(Item, TierRank)>,
     /// Orders whose answers are awaited.
@@ -158,11 +158,11 @@
     /// Since when the engine has not answered when it was asked for its list.
     pub(crate) unresponsive_since: Option<Duration>,
     /// The planned stop has begun.
-    pub(crate) leaving: bool,
+    pub(crate) draining: bool,
     /// What the platform's list says of this VM.
     pub(crate) vm: VmNotice,
     pub(crate) loads: u64,
-    pub(crate) last_seen: Duration,
+    pub(crate) last_message: Duration,
 }
 
 impl Actor for Control {
@@ -188,14 +188,14 @@
         core: &mut Core,
     ) -> Result<(), ActorProcessingErr> {
         core.notice_pause();
-        core.take(msg);
+        core.apply(msg);
         core.advance();
         Ok(())
     }
 }
 
 async fn tick(me: ActorRef<Msg>) {
-    let mut ticks = tokio::time::interval(TICK);
+    let mut ticks = tokio::time::interval(TICK_INTERVAL);
     ticks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
     loop {
         ticks.tick().await;
@@ -207,15 +207,15 @@
 
 impl Core {
     fn new(me: ActorRef<Msg>, args: Arguments) -> Self {
-        let keep = Keep::new(keep_options(&args.in_force));
+        let keep_alive = Keep::new(keep_alive_options(&args.in_force));
         let queue_opts = queue_options(&args.in_force, &args.limits);
         let unconfirmed = match args.engine {
-            Some(_) if args.incarnation > FIRST => UnconfirmedOrders::of_predecessor(),
+            Some(_) if args.incarnation > FIRST_INCARNATION => UnconfirmedOrders::of_predecessor(),
             _ => UnconfirmedOrders::default(),
         };
         Self {
             me,
-            began: Instant::now(),
+            started_at: Instant::now(),
             in_force: args.in_force.clone(),
             ledger: args.ledger.clone(),
             args,
@@ -235,35 +235,35 @@
             failures: Vec::new(),
             loading: Vec::new(),
             on_demand: Vec::new(),
-            keep,
-            reported: Duration::ZERO,
+            keep_alive,
+            metrics_emitted: Duration::ZERO,
             orders: 0,
             listing: false,
             relist: false,
             unconfirmed,
             unresponsive_since: None,
-            leaving: false,
+            draining: false,
             vm: VmNotice::default(),
             loads: 0,
-            last_seen: Duration::ZERO,
+            last_message: Duration::ZERO,
         }
     }
 
     /// Returns the time since the agent's start.
     pub(crate) fn now(&self) -> Duration {
-        self.began.elapsed()
+        self.started_at.elapsed()
     }
 
     fn notice_pause(&mut self) {
         let now = self.now();
-        if now - self.last_seen > PAUSED {
-            stair_telemetry::warn!(Part::Agent, "was paused for {:?}", now - self.last_seen);
+        if now - self.last_message > PAUSE_THRESHOLD {
+            stair_telemetry::warn!(Part::Agent, "was paused for {:?}", now - self.last_message);
             self.relist = self.args.engine.is_some();
         }
-        self.last_seen = now;
+        self.last_message = now;
     }
 
-    fn take(&mut self, msg: Msg) {
+    fn apply(&mut self, msg: Msg) {
         match msg {
             Msg::Offer {
                 offer,
@@ -289,7 +289,7 @@
             } => self.run_ended(id, complete.then_some(run), suspect),
             Msg::Forget { id } => self.forget(id),
             Msg::Assign(assignment) => self.assign(*assignment),
-            Msg::Vm(notice) => self.note_vm(notice),
+            Msg::Vm(notice) => self.apply_vm_notice(notice),
             Msg::LoadEnded {
                 item,
                 outcome,
@@ -300,9 +300,9 @@
             Msg::Inventory(inventory) => self.inventory_received(inventory),
             Msg::Tick => {
                 self.unload_idle();
-                self.report();
+                self.emit_metrics();
             }
-            Msg::Stop => self.leave(),
+            Msg::Stop => self.start_draining(),
             Msg::Dump { reply } => drop(reply.send(self.dump())),
         }
     }
@@ -313,7 +313,7 @@
         self.expire();
         self.reconcile_inventory();
         self.refuse_all_engine_down();
-        if self.knows_inventory() && !self.leaving {
+        if self.knows_inventory() && !self.draining {
             self.assign_slots();
         }
         if self.may_order() {
@@ -325,11 +325,12 @@
     }
 
     fn assign(&mut self, assignment: Assignment) {
-        if !self.in_force.take(assignment) {
+        if !self.in_force.apply(assignment) {
             return;
         }
         self.refuse_ungranted();
-        self.keep.set_options(keep_options(&self.in_force));
+        self.keep_alive
+            .set_options(keep_alive_options(&self.in_force));
         let opts = queue_options(&self.in_force, &self.args.limits);
         if opts != self.queue_opts {
             self.rebuild_queue(opts);
@@ -337,14 +338,14 @@
     }
 
     /// Stops taking work. What runs goes on to its end.
-    pub(crate) fn leave(&mut self) {
-        self.leaving = true;
+    pub(crate) fn start_draining(&mut self) {
+        self.draining = true;
         self.refuse_all_draining();
     }
 
     /// Takes no more work while the VM is listed as leaving. Of what the entries say the latest
     /// counts, since any of them may lag.
-    fn note_vm(&mut self, notice: VmNotice) {
+    fn apply_vm_notice(&mut self, notice: VmNotice) {
         if notice.version <= self.vm.version {
             return;
         }
@@ -357,33 +358,33 @@
 
     /// Tells whether new work is refused.
     pub(crate) fn refuses_work(&self) -> bool {
-        self.leaving || self.vm.is_leaving
+        self.draining || self.vm.is_leaving
     }
 
     /// A later agent of this target has ordered the engine: orders of this one would break what
     /// the other relies on.
-    pub(crate) fn superseded(&mut self) {
+    pub(crate) fn stop_superseded(&mut self) {
         let why = "a later agent of the target has taken over the engine";
         self.args.published.fatal.send_replace(Some(why.into()));
-        self.leave();
+        self.start_draining();
     }
 
     fn publish(&mut self) {
         let revoking = self.in_force.revoking().count();
         let listed: usize = self.in_force.shards().iter().map(|s| s.grants.len()).sum();
-        let statement = Statement {
+        let report = AgentReport {
             memory_pressure: self.grants_under_pressure(),
             config: self.in_force.config(),
             shards: self.in_force.versions(),
             released: self.in_force.released().to_vec(),
-            leaving: self.leaving,
+            draining: self.draining,
             granted: listed - revoking,
             revoking,
         };
         let published = &self.args.published;
-        published.statement.send_if_modified(|s| {
-            let changed = *s != statement;
-            *s = statement;
+        published.report.send_if_modified(|s| {
+            let changed = *s != report;
+            *s = report;
             changed
         });
         published.load.send_replace(self.load(None));
--- a/crates/stair-agent/src/control_links.rs
+++ b/crates/stair-agent/src/control_links.rs
@@ -48,27 +48,27 @@
 };
 
 use crate::{
-    incarnation::Pause,
+    incarnation::Backoff,
     msg::{
-        Msg,
-        Statement, //
+        AgentReport,
+        Msg, //
     },
 };
 
 /// Links an agent keeps: one may break while a configuration change is under way.
-const LINKS: usize = 2;
+const LINK_COUNT: usize = 2;
 
 /// An entry that could not be reached is passed over for this time when there are others.
-const AVOID: Duration = Duration::from_secs(5);
+const AVOID_DURATION: Duration = Duration::from_secs(5);
 
 /// A link that lived so long counts as good, and the next try comes soon.
-const GOOD: Duration = Duration::from_secs(10);
+const STABLE_LINK_DURATION: Duration = Duration::from_secs(10);
 
 /// A release that the entry could not write is said again after this time.
-const REPEAT: Duration = Duration::from_secs(5);
+const RELEASE_REPEAT_INTERVAL: Duration = Duration::from_secs(5);
 
 /// Time for what was said last to arrive, when the agent ends.
-const LAST_WORD: Duration = Duration::from_millis(500);
+const FINAL_REPORT_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// What the links need.
 #[derive(Clone)]
@@ -78,17 +78,17 @@
     pub(crate) data_centre: DataCentre,
     pub(crate) dialer: Dialer,
     pub(crate) control: ActorRef<Msg>,
-    pub(crate) statement: watch::Receiver<Statement>,
+    pub(crate) report: watch::Receiver<AgentReport>,
     pub(crate) entries: watch::Sender<Vec<EntryAddress>>,
     pub(crate) linked: watch::Sender<Vec<EntryName>>,
     /// The agent ends: the links say what is left to say and close.
     pub(crate) closing: watch::Sender<bool>,
-    slots: Arc<Mutex<Slots>>,
+    slots: Arc<Mutex<LinkSlots>>,
 }
 
 #[derive(Default)]
-struct Slots {
-    taken: [Option<EntryName>; LINKS],
+struct LinkSlots {
+    taken: [Option<EntryName>; LINK_COUNT],
     failed: Vec<(EntryName, Instant)>,
 }
 
@@ -97,7 +97,7 @@
         hello: (TargetName, FencingToken, DataCentre),
         dialer: Dialer,
         control: ActorRef<Msg>,
-        statement: watch::Receiver<Statement>,
+        report: watch::Receiver<AgentReport>,
         entries: watch::Sender<Vec<EntryAddress>>,
     ) -> Self {
         let (target, incarnation, data_centre) = hello;
@@ -107,7 +107,7 @@
             data_centre,
             dialer,
             control,
-            statement,
+            report,
             entries,
             linked: watch::Sender::new(Vec::new()),
             closing: watch::Sender::new(false),
@@ -115,7 +115,7 @@
         }
     }
 
-    fn slots(&self) -> MutexGuard<'_, Slots> {
+    fn slots(&self) -> MutexGuard<'_, LinkSlots> {
         self.slots.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
@@ -136,20 +136,23 @@
     fn choose(&self, slot: usize) -> Option<EntryAddress> {
         let ranked = self.ranked();
         let mut slots = self.slots();
-        slots.failed.retain(|(_, at)| at.elapsed() < AVOID);
+        slots.failed.retain(|(_, at)| at.elapsed() < AVOID_DURATION);
         let free = |e: &&EntryAddress| {
             let mut taken = slots.taken.iter().flatten();
             !taken.any(|name| *name == e.name)
         };
-        let good = |e: &&EntryAddress| !slots.failed.iter().any(|(name, _)| *name == e.name);
+        let reachable = |e: &&EntryAddress| !slots.failed.iter().any(|(name, _)| *name == e.name);
         let mut candidates = ranked.iter().filter(free);
-        let best = candidates.clone().find(good).or_else(|| candidates.next());
+        let best = candidates
+            .clone()
+            .find(reachable)
+            .or_else(|| candidates.next());
         let best = best.cloned();
         slots.taken[slot] = best.as_ref().map(|e| e.name.clone());
         best
     }
 
-    fn give_up(&self, slot: usize, name: &EntryName) {
+    fn mark_failed(&self, slot: usize, name: &EntryName) {
         let mut slots = self.slots();
         slots.taken[slot] = None;
         slots.failed.push((name.clone(), Instant::now()));
@@ -157,30 +160,30 @@
 }
 
 /// Keeps the links until the agent ends.
-pub(crate) async fn keep(cx: Context) {
+pub(crate) async fn run(cx: Context) {
     let mut tasks = tokio::task::JoinSet::new();
-    for slot in 0..LINKS {
-        tasks.spawn(keep_one(cx.clone(), slot));
+    for slot in 0..LINK_COUNT {
+        tasks.spawn(maintain_slot(cx.clone(), slot));
     }
     while tasks.join_next().await.is_some() {}
 }
 
-async fn keep_one(cx: Context, slot: usize) {
+async fn maintain_slot(cx: Context, slot: usize) {
     let mut closing = cx.closing.subscribe();
-    let mut pause = Pause::default();
+    let mut backoff = Backoff::default();
     while !*closing.borrow() {
         let mut entries = cx.entries.subscribe();
         let entry = cx.choose(slot);
         let began = Instant::now();
         if let Some(entry) = &entry {
             serve_named(&cx, entry).await;
-            cx.give_up(slot, &entry.name);
+            cx.mark_failed(slot, &entry.name);
         }
-        if began.elapsed() > GOOD {
-            pause = Pause::default();
+        if began.elapsed() > STABLE_LINK_DURATION {
+            backoff = Backoff::default();
         }
         tokio::select! {
-            () = pause.wait() => {}
+            () = backoff.wait() => {}
             () = is_true(&mut closing) => {}
             _ = entries.changed(), if entry.is_none() => {}
         }
@@ -205,35 +208,38 @@
     let link = cx.dialer.connect(entry.link, Probing::CONTROL).await?;
     let _in_use = link.use_it();
     let (mut tx, rx) = link.open().await?;
-    let mut statement = cx.statement.clone();
-    let said = statement.borrow_and_update().clone();
+    let mut report = cx.report.clone();
+    let sent = report.borrow_and_update().clone();
     let hello = Hello {
         target: cx.target.clone(),
         incarnation: cx.incarnation,
         data_centre: cx.data_centre.clone(),
-        shards: said.shards.clone(),
-        config: said.config,
+        shards: sent.shards.clone(),
+        config: sent.config,
     };
     frame::write_message(&mut tx, &Opening::Agent(hello)).await?;
     cx.linked.send_modify(|l| l.push(entry.name.clone()));
-    say(&mut tx, &Statement::default(), &said).await?;
-    let mut said = said;
+    send_changes(&mut tx, &AgentReport::default(), &sent).await?;
+    let mut sent = sent;
     let mut from_entry = messages(rx);
     let mut entries = cx.entries.subscribe();
     let mut closing = cx.closing.subscribe();
-    let mut repeat = tokio::time::interval_at(Instant::now() + REPEAT, REPEAT);
+    let mut repeat = tokio::time::interval_at(
+        Instant::now() + RELEASE_REPEAT_INTERVAL,
+        RELEASE_REPEAT_INTERVAL,
+    );
     loop {
         tokio::select! {
             () = is_true(&mut closing) => {
-                let now = statement.borrow_and_update().clone();
-                say(&mut tx, &said, &now).await?;
+                let now = report.borrow_and_update().clone();
+                send_changes(&mut tx, &sent, &now).await?;
                 let _ = tx.finish();
-                let _ = tokio::time::timeout(LAST_WORD, tx.stopped()).await;
+                let _ = tokio::time::timeout(FINAL_REPORT_TIMEOUT, tx.stopped()).await;
                 return Ok(());
             }
             _ = repeat.tick() => {
-                if !said.released.is_empty() {
-                    let grants = said.released.clone();
+                if !sent.released.is_empty() {
+                    let grants = sent.released.clone();
                     frame::write_message(&mut tx, &AgentControl::Released { grants }).await?;
                 }
             }
@@ -245,9 +251,9 @@
                 Some(EntryControl::Entries { entries })
                     if entries.iter().all(|e| e.name != entry.name) => {}
                 Some(EntryControl::Entries { entries }) => {
-                    cx.entries.send_if_modified(|held| {
-                        let changed = *held != entries;
-                        *held = entries;
+                    cx.entries.send_if_modified(|known| {
+                        let changed = *known != entries;
+                        *known = entries;
                         changed
                     });
                 }
@@ -256,11 +262,11 @@
                 }
                 None => anyhow::bail!("the entry closed it"),
             },
-            changed = statement.changed() => {
+            changed = report.changed() => {
                 changed?;
-                let now = statement.borrow_and_update().clone();
-                say(&mut tx, &said, &now).await?;
-                said = now;
+                let now = report.borrow_and_update().clone();
+                send_changes(&mut tx, &sent, &now).await?;
+                sent = now;
             }
             changed = entries.changed() => {
                 changed?;
@@ -272,22 +278,26 @@
 }
 
 /// Sends what the entry has not been told on this link.
-async fn say(tx: &mut SendStream, said: &Statement, now: &Statement) -> anyhow::Result<()> {
-    if now.leaving && !said.leaving {
+async fn send_changes(
+    tx: &mut SendStream,
+    sent: &AgentReport,
+    now: &AgentReport,
+) -> anyhow::Result<()> {
+    if now.draining && !sent.draining {
         frame::write_message(tx, &AgentControl::Leaving).await?;
     }
-    if now.memory_pressure != said.memory_pressure {
+    if now.memory_pressure != sent.memory_pressure {
         let grants = now.memory_pressure.clone();
         frame::write_message(tx, &AgentControl::MemoryPressure { grants }).await?;
     }
-    if now.config != said.config {
+    if now.config != sent.config {
         let config = now.config;
         frame::write_message(tx, &AgentControl::InForce { config }).await?;
     }
     // A release may have been lost on its way to the platform, so it is repeated whenever a newer
     // shard still lists the grant.
-    let news = now.released != said.released || now.shards != said.shards;
-    if news && !now.released.is_empty() {
+    let releases_due = now.released != sent.released || now.shards != sent.shards;
+    if releases_due && !now.released.is_empty() {
         let grants = now.released.clone();
         frame::write_message(tx, &AgentControl::Released { grants }).await?;
     }
--- a/crates/stair-agent/src/dump.rs
+++ b/crates/stair-agent/src/dump.rs
@@ -69,7 +69,7 @@
             running: self.active.iter().map(|a| a.id).collect(),
             responses: self.responses.len(),
             runs: self.runs.len(),
-            leaving: self.leaving,
+            leaving: self.draining,
             entries: self.args.entries.borrow().len(),
         }
     }
--- a/crates/stair-agent/src/incarnation.rs
+++ b/crates/stair-agent/src/incarnation.rs
@@ -16,10 +16,10 @@
     TargetName, //
 };
 
-/// First pause between tries while the platform is down; it doubles up to [`MAX_PAUSE`], so that
+/// First pause between tries while the platform is down; it doubles up to [`MAX_BACKOFF`], so that
 /// 12,000 agents that start after an outage do not keep the platform down.
-const MIN_PAUSE: Duration = Duration::from_millis(100);
-const MAX_PAUSE: Duration = Duration::from_secs(5);
+const MIN_BACKOFF: Duration = Duration::from_millis(100);
+const MAX_BACKOFF: Duration = Duration::from_secs(5);
 
 /// Writes the record with the next token, and returns that token.
 ///
@@ -33,15 +33,15 @@
 where
     S: ObjectStore,
 {
-    let mut pause = Pause::default();
-    let mut unsure: Option<IncarnationRecord> = None;
+    let mut backoff = Backoff::default();
+    let mut unconfirmed: Option<IncarnationRecord> = None;
     loop {
-        match try_raise(store, target, own, &mut unsure).await {
+        match try_raise(store, target, own, &mut unconfirmed).await {
             Ok(token) => return token,
             Err(Error::Conflict) => {}
             Err(e) => stair_telemetry::warn!(Part::Platform, "cannot raise the incarnation: {e}"),
         }
-        pause.wait().await;
+        backoff.wait().await;
     }
 }
 
@@ -49,19 +49,19 @@
     store: &S,
     target: &TargetName,
     own: &IncarnationRecord,
-    unsure: &mut Option<IncarnationRecord>,
+    unconfirmed: &mut Option<IncarnationRecord>,
 ) -> Result<FencingToken, Error>
 where
     S: ObjectStore,
 {
     let (condition, token) = match store.get(Kind::Incarnation, target.as_str()).await {
         Ok(object) => {
-            let held: IncarnationRecord = serde_json::from_value(object.value)
+            let current: IncarnationRecord = serde_json::from_value(object.value)
                 .map_err(|e| Error::Invalid(e.to_string().into()))?;
-            if unsure.as_ref() == Some(&held) {
-                return Ok(held.token);
+            if unconfirmed.as_ref() == Some(&current) {
+                return Ok(current.token);
             }
-            let next = FencingToken(held.token.0 + 1);
+            let next = FencingToken(current.token.0 + 1);
             (Condition::Version(object.version), next)
         }
         Err(Error::NotFound) => (Condition::Absent, FencingToken(1)),
@@ -72,27 +72,27 @@
         ..own.clone()
     };
     let value = serde_json::to_value(&record).map_err(|e| Error::Invalid(e.to_string().into()))?;
-    *unsure = Some(record);
+    *unconfirmed = Some(record);
     let put = store.put(Kind::Incarnation, target.as_str(), &value, condition);
     put.await.map(|_| token)
 }
 
 /// Pauses that grow and differ between processes.
 #[derive(Debug)]
-pub(crate) struct Pause {
+pub(crate) struct Backoff {
     next: Duration,
 }
 
-impl Default for Pause {
+impl Default for Backoff {
     fn default() -> Self {
-        Self { next: MIN_PAUSE }
+        Self { next: MIN_BACKOFF }
     }
 }
 
-impl Pause {
+impl Backoff {
     pub(crate) async fn wait(&mut self) {
-        let share = rand::rng().random_range(0.5..1.5);
-        tokio::time::sleep(self.next.mul_f64(share)).await;
-        self.next = (self.next * 2).min(MAX_PAUSE);
+        let jitter = rand::rng().random_range(0.5..1.5);
+        tokio::time::sleep(self.next.mul_f64(jitter)).await;
+        self.next = (self.next * 2).min(MAX_BACKOFF);
     }
 }
--- a/crates/stair-agent/src/lib.rs
+++ b/crates/stair-agent/src/lib.rs
@@ -13,16 +13,17 @@
 #![forbid(unsafe_code)]
 
 mod admit;
+mod bootstrap;
 mod control;
 mod control_links;
 mod engine;
 mod incarnation;
-mod learn;
 mod links;
 mod load_slot;
 mod loads;
 mod lock;
 mod memory_pressure;
+mod metrics;
 mod msg;
 mod offers;
 mod operator;
@@ -31,7 +32,6 @@
 mod pending_offers;
 mod reconcile;
 mod refuse;
-mod report;
 mod responses;
 mod resume;
 mod run;
--- a/crates/stair-agent/src/loads.rs
+++ b/crates/stair-agent/src/loads.rs
@@ -85,7 +85,7 @@
     /// Unloads what was idle for longer than a cold start is worth to this deployment. The next
     /// agent of an engine that stays takes over what is loaded.
     pub(crate) fn unload_idle(&mut self) {
-        if self.leaving || !self.may_order() {
+        if self.draining || !self.may_order() {
             return;
         }
         let now = self.now();
@@ -102,13 +102,13 @@
             // What the engine held before this agent came counts as used when it was first seen.
             if !self.last_used.iter().any(|(other, _)| *other == item) {
                 self.record_use(Some(&item));
-                self.keep.finished(key, now);
+                self.keep_alive.finished(key, now);
             }
             let cost = keep::Cost {
                 cold_start: self.items.load(&item),
                 share: f64::from(entry.memory_mib) / total_mib,
             };
-            let until = self.keep.idle_until(key, now, &cost);
+            let until = self.keep_alive.idle_until(key, now, &cost);
             if !u.busy && u.waiting.is_none() && now >= until {
                 self.unload_group(&item);
             }
@@ -119,7 +119,7 @@
     pub(crate) fn record_arrival(&mut self, key: ModelKey) {
         let now = self.now();
         for key in self.with_base(key) {
-            self.keep.used(key, now);
+            self.keep_alive.used(key, now);
         }
     }
 
@@ -127,7 +127,7 @@
     pub(crate) fn record_end(&mut self, key: ModelKey) {
         let now = self.now();
         for key in self.with_base(key) {
-            self.keep.finished(key, now);
+            self.keep_alive.finished(key, now);
         }
     }
 
--- a/crates/stair-agent/src/report.rs
+++ b/crates/stair-agent/src/metrics.rs
@@ -22,16 +22,16 @@
 };
 
 /// Time between reports of what has no event of its own.
-const EVERY: Duration = Duration::from_secs(1);
+const METRICS_INTERVAL: Duration = Duration::from_secs(1);
 
 impl Core {
     /// Reports queue lengths and idle accelerator time, about once a second.
-    pub(crate) fn report(&mut self) {
+    pub(crate) fn emit_metrics(&mut self) {
         let now = self.now();
-        if now - self.reported < EVERY {
+        if now - self.metrics_emitted < METRICS_INTERVAL {
             return;
         }
-        self.reported = now;
+        self.metrics_emitted = now;
         // What was used no more and is gone from the engine is forgotten here as well.
         let ledger = &self.ledger;
         self.last_used
@@ -41,14 +41,14 @@
             let waiting = u64::try_from(waiting).unwrap_or(u64::MAX);
             self.args.metrics.queue_length(&tier.name, waiting);
         }
-        let holds = |e: &stair_state::ledger::Entry| e.state == State::Loaded;
-        if self.active.is_empty() && self.ledger.entries().iter().any(holds) {
+        let is_loaded = |e: &stair_state::ledger::Entry| e.state == State::Loaded;
+        if self.active.is_empty() && self.ledger.entries().iter().any(is_loaded) {
             self.args.metrics.idle_accelerator_seconds(1);
         }
         self.args.metrics.flush();
     }
 
-    pub(crate) fn report_load(
+    pub(crate) fn emit_load_metrics(
         &self,
         item: &Item,
         outcome: OrderOutcome,
--- a/crates/stair-agent/src/msg.rs
+++ b/crates/stair-agent/src/msg.rs
@@ -115,13 +115,13 @@
 
 /// What the agent tells its entries.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub(crate) struct Statement {
+pub(crate) struct AgentReport {
     pub(crate) config: ConfigVersion,
     pub(crate) shards: Vec<(ShardId, u64)>,
     pub(crate) released: Vec<(ShardId, GrantId)>,
     /// Grants whose models wait for room.
     pub(crate) memory_pressure: Vec<(ShardId, GrantId)>,
-    pub(crate) leaving: bool,
+    pub(crate) draining: bool,
     /// Grants in force.
     pub(crate) granted: usize,
     /// Grants that are being revoked.
@@ -131,7 +131,7 @@
 /// What the control publishes.
 #[derive(Clone)]
 pub(crate) struct Published {
-    pub(crate) statement: watch::Sender<Statement>,
+    pub(crate) report: watch::Sender<AgentReport>,
     pub(crate) load: watch::Sender<Load>,
     /// Requests that run, and answers that are being read.
     pub(crate) busy: watch::Sender<usize>,
--- a/crates/stair-agent/src/options.rs
+++ b/crates/stair-agent/src/options.rs
@@ -16,7 +16,7 @@
 /// Requests that may wait in one agent, of all tiers: the time of one decision grows with them.
 const MAX_WAITING: u32 = 4096;
 
-pub(crate) fn keep_options(in_force: &InForce) -> keep::Options {
+pub(crate) fn keep_alive_options(in_force: &InForce) -> keep::Options {
     let policy = &in_force.policy().keep;
     keep::Options {
         cold_start_weight: policy.cold_start_weight,
--- a/crates/stair-agent/src/orders.rs
+++ b/crates/stair-agent/src/orders.rs
@@ -97,7 +97,7 @@
         source: Option<Source>,
         took: Duration,
     ) {
-        self.report_load(item, outcome, source, took);
+        self.emit_load_metrics(item, outcome, source, took);
         self.orders -= 1;
         self.loading.retain(|(other, _)| other != item);
         match outcome {
@@ -112,7 +112,7 @@
             }
             OrderOutcome::Superseded => {
                 self.ledger.end_load(item, Answer::Refused);
-                self.superseded();
+                self.stop_superseded();
             }
         }
         if outcome == OrderOutcome::Reply(Answer::Done) {
@@ -120,7 +120,7 @@
             self.failures.retain(|f| f.item != *item);
             self.record_use(Some(item));
             let key = self.items.key(Some(item));
-            self.keep.finished(key, self.now());
+            self.keep_alive.finished(key, self.now());
         } else {
             self.load_failed(item);
         }
@@ -137,7 +137,7 @@
             OrderOutcome::Unexpected => self.ledger.end_unload(item, Answer::Lost),
             OrderOutcome::Superseded => {
                 self.ledger.end_unload(item, Answer::Lost);
-                self.superseded();
+                self.stop_superseded();
             }
         }
     }
--- a/crates/stair-agent/src/refuse.rs
+++ b/crates/stair-agent/src/refuse.rs
@@ -61,7 +61,7 @@
 
     /// Refuses everything that has not started, also what was told that it can run now.
     pub(crate) fn refuse_all_draining(&mut self) {
-        self.refuse_all(&leaving());
+        self.refuse_all(&draining_refusal());
     }
 
     /// Refuses everything that has not started at an engine that is down.
@@ -120,7 +120,7 @@
 }
 
 /// Says that the agent takes no more work.
-pub(crate) fn leaving() -> Refusal {
+pub(crate) fn draining_refusal() -> Refusal {
     Refusal::not_run(Reason::Leaving, DRAINING_RETRY_MS, "the target is leaving")
 }
 
--- a/crates/stair-agent/src/start.rs
+++ b/crates/stair-agent/src/start.rs
@@ -50,6 +50,7 @@
 
 use crate::{
     assignment::InForce,
+    bootstrap,
     control::Control,
     control_links,
     dump::Dump,
@@ -59,48 +60,47 @@
     },
     incarnation::{
         self,
-        Pause, //
+        Backoff, //
     },
-    learn,
     links,
     lock::{
         self,
         Lock, //
     },
     msg::{
+        AgentReport,
         Arguments,
         Msg,
-        Published,
-        Statement, //
+        Published, //
     },
     offers::Shared,
     operator, //
 };
 
 /// Time to open a link to an entry.
-const CONNECT_TIME: Duration = Duration::from_secs(2);
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Time for the control links to say their last and close.
-const CLOSE_TIME: Duration = Duration::from_secs(2);
+const CLOSE_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Time for the entries to revoke the grants of an agent that stops. It takes them milliseconds,
 /// or 3.5 s when the first of them is dead. When the platform is down they cannot, and the VM has
 /// to go all the same.
-const REVOKE_TIME: Duration = Duration::from_secs(4);
+const REVOKE_TIMEOUT: Duration = Duration::from_secs(4);
 
 /// Time for revoked grants to be given back once nothing runs any more. An unload takes about a
 /// second.
-const HAND_BACK_TIME: Duration = Duration::from_secs(10);
+const RELEASE_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// Time for refusals and the ends of answers to reach the entries before the links are closed.
-const STREAMS_TIME: Duration = Duration::from_secs(2);
+const STREAMS_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Idle connections kept to the target.
 const MAX_IDLE: usize = 64;
 
 /// Time without any entry after which the VMs are listed again; it doubles each time.
-const FIRST_REFRESH: Duration = Duration::from_secs(1);
-const MAX_REFRESH: Duration = Duration::from_secs(30);
+const MIN_REFRESH_INTERVAL: Duration = Duration::from_secs(1);
+const MAX_REFRESH_INTERVAL: Duration = Duration::from_secs(30);
 
 /// A running agent.
 pub struct Agent {
@@ -156,9 +156,9 @@
         let record = record(&settings, settings.advertise.unwrap_or(link));
         let incarnation = incarnation::raise(&store, &settings.name, &record).await;
         stair_telemetry::info!(Part::Agent, "{} starts as {incarnation}", settings.name);
-        let in_force = InForce::new(learn::grants(&store, &settings.name).await);
-        let (entries, _) = watch::channel(learn::entries(&store).await);
-        let dialer = Dialer::new(&keys, CONNECT_TIME)?;
+        let in_force = InForce::new(bootstrap::list_grants(&store, &settings.name).await);
+        let (entries, _) = watch::channel(bootstrap::list_entries(&store).await);
+        let dialer = Dialer::new(&keys, CONNECT_TIMEOUT)?;
 
         let address = match settings.target {
             TargetSettings::Engine { address, .. } | TargetSettings::Service { address, .. } => {
@@ -177,7 +177,7 @@
         };
         let metrics = Metrics::new(settings.telemetry.statsd)?;
         let published = Published {
-            statement: watch::Sender::new(Statement::default()),
+            report: watch::Sender::new(AgentReport::default()),
             load: watch::Sender::default(),
             busy: watch::Sender::new(0),
             fatal: watch::Sender::new(None),
@@ -202,7 +202,7 @@
             (settings.name, incarnation, settings.data_centre),
             dialer,
             control.clone(),
-            published.statement.subscribe(),
+            published.report.subscribe(),
             entries,
         );
         let linked = cx.linked.subscribe();
@@ -313,7 +313,7 @@
         let refresh = tokio::spawn(refresh_entries(self.store, self.cx.clone()));
         let close_links = self.cx.closing.clone();
         let linked = self.cx.linked.subscribe();
-        let mut control_links = tokio::spawn(control_links::keep(self.cx));
+        let mut control_links = tokio::spawn(control_links::run(self.cx));
         let mut fatal = self.published.fatal.subscribe();
         let why = tokio::select! {
             why = fatal.wait_for(Option::is_some) => why.ok().and_then(|w| w.clone()),
@@ -322,15 +322,15 @@
         if why.is_none() {
             let _ = control.send_message(Msg::Stop);
             drain(&self.published).await;
-            hand_back(&self.published, &linked).await;
+            wait_for_release(&self.published, &linked).await;
             // What is refused at the very end has to be told too: a link that breaks first would
             // leave the entries in doubt.
             let none = streams.wait_for(|n| *n == 0);
-            let _ = tokio::time::timeout(STREAMS_TIME, none).await;
+            let _ = tokio::time::timeout(STREAMS_TIMEOUT, none).await;
         }
         // An idle agent has nothing to wait for, and its "leaving" would not be said otherwise.
         close_links.send_replace(true);
-        let closed = tokio::time::timeout(CLOSE_TIME, &mut control_links).await;
+        let closed = tokio::time::timeout(CLOSE_TIMEOUT, &mut control_links).await;
         if closed.is_err() {
             control_links.abort();
         }
@@ -350,8 +350,8 @@
 
 /// Waits until nothing runs and all answers are read, also after new ones were taken up again.
 async fn drain(published: &Published) {
-    let mut statement = published.statement.subscribe();
-    let _ = statement.wait_for(|s| s.leaving).await;
+    let mut report = published.report.subscribe();
+    let _ = report.wait_for(|s| s.draining).await;
     let mut busy = published.busy.subscribe();
     let _ = busy.wait_for(|b| *b == 0).await;
 }
@@ -361,16 +361,16 @@
 /// The platform's list may call this VM live for long after the agent has ended, and only the
 /// agent can say that the engine holds a model no longer. Its models would be served by nobody
 /// until the list has noticed.
-async fn hand_back(published: &Published, linked: &watch::Receiver<Vec<EntryName>>) {
+async fn wait_for_release(published: &Published, linked: &watch::Receiver<Vec<EntryName>>) {
     if linked.borrow().is_empty() {
         return;
     }
-    let mut statement = published.statement.subscribe();
-    let revoked = statement.wait_for(|s| s.granted == 0);
-    let mut done = tokio::time::timeout(REVOKE_TIME, revoked).await.is_ok();
+    let mut report = published.report.subscribe();
+    let revoked = report.wait_for(|s| s.granted == 0);
+    let mut done = tokio::time::timeout(REVOKE_TIMEOUT, revoked).await.is_ok();
     if done {
-        let none = statement.wait_for(|s| s.revoking == 0);
-        done = tokio::time::timeout(HAND_BACK_TIME, none).await.is_ok();
+        let none = report.wait_for(|s| s.revoking == 0);
+        done = tokio::time::timeout(RELEASE_TIMEOUT, none).await.is_ok();
     }
     if !done {
         stair_telemetry::warn!(Part::Agent, "ends with grants that nobody took back");
@@ -385,22 +385,23 @@
     S: ObjectStore,
 {
     let mut linked = cx.linked.subscribe();
-    let mut pause = FIRST_REFRESH;
+    let mut backoff = MIN_REFRESH_INTERVAL;
     loop {
         if linked.wait_for(Vec::is_empty).await.is_err() {
             return;
         }
-        let share = rand::RngExt::random_range(&mut rand::rng(), 1.0..2.0);
+        let jitter = rand::RngExt::random_range(&mut rand::rng(), 1.0..2.0);
         let some = linked.wait_for(|l| !l.is_empty());
-        let alone = tokio::time::timeout(pause.mul_f64(share), some)
+        let unlinked = tokio::time::timeout(backoff.mul_f64(jitter), some)
             .await
             .is_err();
-        if !alone {
-            pause = FIRST_REFRESH;
+        if !unlinked {
+            backoff = MIN_REFRESH_INTERVAL;
             continue;
         }
-        cx.entries.send_replace(learn::entries(&store).await);
-        pause = (pause * 2).min(MAX_REFRESH);
+        cx.entries
+            .send_replace(bootstrap::list_entries(&store).await);
+        backoff = (backoff * 2).min(MAX_REFRESH_INTERVAL);
     }
 }
 
@@ -430,7 +431,7 @@
 }
 
 async fn read_ledger(engine: &Engine, target: &TargetSettings) -> Ledger {
-    let mut pause = Pause::default();
+    let mut backoff = Backoff::default();
     let inventory: Inventory = loop {
         match engine.list().await {
             Ok(inventory) => break inventory,
@@ -438,7 +439,7 @@
                 stair_telemetry::warn!(Part::Agent, "the engine does not list what it holds: {e}")
             }
         }
-        pause.wait().await;
+        backoff.wait().await;
     };
     let declared_mib = match target {
         TargetSettings::Engine { memory_mib, .. } => *memory_mib,
