--- a/crates/stair-agent/src/admit.rs
+++ b/crates/stair-agent/src/admit.rs
@@ -91,7 +91,7 @@
                 Ok(None)
             }
             (Work::Model { model, adapter }, TargetSettings::Engine { .. }) => {
-                let Some(spec) = self.in_force.may_hold(model) else {
+                let Some(spec) = self.in_force.servable_model(model) else {
                     return not_granted("the target holds no grant for the model");
                 };
                 if let Some(name) = adapter
@@ -149,7 +149,9 @@
             rank: unstarted.offer.rank,
             deadline: unstarted.deadline,
             arrived: now,
-            expected_run: self.items.run(unstarted.key, unstarted.offer.max_tokens),
+            expected_run: self
+                .items
+                .expected_run(unstarted.key, unstarted.offer.max_tokens),
             bytes: u32::try_from(unstarted.body.len()).unwrap_or(u32::MAX),
             model: unstarted.key,
         }
--- a/crates/stair-agent/src/assignment.rs
+++ b/crates/stair-agent/src/assignment.rs
@@ -154,12 +154,12 @@
     }
 
     /// Finds a model that may be held: declared, and under a grant that is not being revoked.
-    pub fn may_hold(&self, name: &ModelName) -> Option<&Model> {
-        self.model(name).filter(|_| self.grants(name))
+    pub fn servable_model(&self, name: &ModelName) -> Option<&Model> {
+        self.model(name).filter(|_| self.is_granted(name))
     }
 
     /// Tells whether a grant of a model is in force, whether or not the model is declared.
-    pub fn grants(&self, name: &ModelName) -> bool {
+    pub fn is_granted(&self, name: &ModelName) -> bool {
         self.grant_of(name).is_some()
     }
 
--- a/crates/stair-agent/src/items.rs
+++ b/crates/stair-agent/src/items.rs
@@ -6,13 +6,13 @@
 use stair_types::ModelKey;
 
 /// A run that nothing is known about. Too long would refuse the first callers for nothing.
-const FIRST_RUN: Duration = Duration::from_millis(200);
+const DEFAULT_RUN: Duration = Duration::from_millis(200);
 
 /// A load that nothing is known about.
-const FIRST_LOAD: Duration = Duration::from_secs(2);
+const DEFAULT_LOAD: Duration = Duration::from_secs(2);
 
 #[derive(Debug, Clone, Default)]
-struct Seen {
+struct Estimates {
     run: Option<Duration>,
     /// Time for each token that a caller asked for at most.
     per_token: Option<Duration>,
@@ -27,9 +27,9 @@
     /// Keys, sorted by item.
     sorted: Vec<ModelKey>,
     /// By key.
-    seen: Vec<Seen>,
-    any_run: Option<Duration>,
-    any_load: Option<Duration>,
+    estimates: Vec<Estimates>,
+    mean_run: Option<Duration>,
+    mean_load: Option<Duration>,
 }
 
 impl Items {
@@ -40,7 +40,7 @@
             Err(at) => {
                 let key = ModelKey(u32::try_from(self.items.len()).unwrap_or(u32::MAX));
                 self.items.push(item.cloned());
-                self.seen.push(Seen::default());
+                self.estimates.push(Estimates::default());
                 self.sorted.insert(at, key);
                 key
             }
@@ -53,45 +53,48 @@
     }
 
     /// Returns how long a run is expected to take, by the tokens asked for if they are known.
-    pub fn run(&self, key: ModelKey, max_tokens: u32) -> Duration {
-        let seen = &self.seen[key.0 as usize];
-        let by_tokens = seen.per_token.filter(|_| max_tokens > 0);
+    pub fn expected_run(&self, key: ModelKey, max_tokens: u32) -> Duration {
+        let estimates = &self.estimates[key.0 as usize];
+        let by_tokens = estimates.per_token.filter(|_| max_tokens > 0);
         let by_tokens = by_tokens.map(|t| t * max_tokens);
-        by_tokens.or(seen.run).or(self.any_run).unwrap_or(FIRST_RUN)
+        by_tokens
+            .or(estimates.run)
+            .or(self.mean_run)
+            .unwrap_or(DEFAULT_RUN)
     }
 
     /// Notes how long a whole run took.
-    pub fn ran(&mut self, key: ModelKey, max_tokens: u32, took: Duration) {
-        let seen = &mut self.seen[key.0 as usize];
+    pub fn observe_run(&mut self, key: ModelKey, max_tokens: u32, took: Duration) {
+        let estimates = &mut self.estimates[key.0 as usize];
         if max_tokens > 0 {
-            blend(&mut seen.per_token, took / max_tokens);
+            update_mean(&mut estimates.per_token, took / max_tokens);
         }
-        blend(&mut seen.run, took);
-        blend(&mut self.any_run, took);
+        update_mean(&mut estimates.run, took);
+        update_mean(&mut self.mean_run, took);
     }
 
     /// Returns how long a load is expected to take.
-    pub fn load(&self, item: &Item) -> Duration {
+    pub fn expected_load(&self, item: &Item) -> Duration {
         let known = self.find(Some(item)).ok().map(|i| self.sorted[i]);
-        let seen = known.and_then(|k| self.seen[k.0 as usize].load);
-        seen.or(self.any_load).unwrap_or(FIRST_LOAD)
+        let estimates = known.and_then(|k| self.estimates[k.0 as usize].load);
+        estimates.or(self.mean_load).unwrap_or(DEFAULT_LOAD)
     }
 
     /// Notes how long a load took.
-    pub fn loaded(&mut self, item: &Item, took: Duration) {
+    pub fn observe_load(&mut self, item: &Item, took: Duration) {
         let key = self.key(Some(item));
-        blend(&mut self.seen[key.0 as usize].load, took);
-        blend(&mut self.any_load, took);
+        update_mean(&mut self.estimates[key.0 as usize].load, took);
+        update_mean(&mut self.mean_load, took);
     }
 
     fn find(&self, item: Option<&Item>) -> Result<usize, usize> {
-        let of = |key: &ModelKey| self.items[key.0 as usize].as_ref();
-        self.sorted.binary_search_by(|key| of(key).cmp(&item))
+        let item_of = |key: &ModelKey| self.items[key.0 as usize].as_ref();
+        self.sorted.binary_search_by(|key| item_of(key).cmp(&item))
     }
 }
 
 /// The last few count most; one odd one does not decide.
-fn blend(mean: &mut Option<Duration>, new: Duration) {
+fn update_mean(mean: &mut Option<Duration>, new: Duration) {
     *mean = Some(match *mean {
         Some(old) => (old * 3 + new) / 4,
         None => new,
--- a/crates/stair-agent/src/loads.rs
+++ b/crates/stair-agent/src/loads.rs
@@ -33,7 +33,7 @@
 
 /// Returns the declared version and memory of an item that may be held.
 fn declared<'a>(in_force: &'a InForce, item: &Item) -> Option<(&'a str, u32)> {
-    let model: &Model = in_force.may_hold(&item.model)?;
+    let model: &Model = in_force.servable_model(&item.model)?;
     match &item.adapter {
         None => Some((&model.version, model.memory_mib)),
         Some(name) => {
@@ -105,7 +105,7 @@
                 self.keep_alive.finished(key, now);
             }
             let cost = keep::Cost {
-                cold_start: self.items.load(&item),
+                cold_start: self.items.expected_load(&item),
                 share: f64::from(entry.memory_mib) / total_mib,
             };
             let until = self.keep_alive.idle_until(key, now, &cost);
@@ -197,7 +197,7 @@
         }
         let began = self.loading.iter().find(|(other, _)| other == item);
         let passed = began.map_or(Duration::ZERO, |(_, at)| self.now() - *at);
-        self.items.load(item).saturating_sub(passed)
+        self.items.expected_load(item).saturating_sub(passed)
     }
 
     /// Returns false when loads after this one have to wait.
--- a/crates/stair-agent/src/orders.rs
+++ b/crates/stair-agent/src/orders.rs
@@ -116,7 +116,7 @@
             }
         }
         if outcome == OrderOutcome::Reply(Answer::Done) {
-            self.items.loaded(item, took);
+            self.items.observe_load(item, took);
             self.failures.retain(|f| f.item != *item);
             self.record_use(Some(item));
             let key = self.items.key(Some(item));
@@ -159,7 +159,7 @@
             self.refuse_waiting(item, "the model failed to load");
             return;
         }
-        let finish = retry_at + self.items.load(item);
+        let finish = retry_at + self.items.expected_load(item);
         let waiting = self.queue.iter().filter(|w| w.deadline < finish);
         let late: Vec<RequestId> = waiting
             .filter(|w| requires(self.items.get(w.model), item))
--- a/crates/stair-agent/src/pending_offers.rs
+++ b/crates/stair-agent/src/pending_offers.rs
@@ -84,7 +84,8 @@
         let lags = offer.shard_version > known;
         // At its start the agent reads its grants from the platform, and learns what the models
         // are like from its first entry.
-        let unspecified = self.in_force.model(model).is_none() && self.in_force.grants(model);
-        (lags && self.in_force.may_hold(model).is_none() || unspecified) && !self.refuses_work()
+        let unspecified = self.in_force.model(model).is_none() && self.in_force.is_granted(model);
+        (lags && self.in_force.servable_model(model).is_none() || unspecified)
+            && !self.refuses_work()
     }
 }
--- a/crates/stair-agent/src/refuse.rs
+++ b/crates/stair-agent/src/refuse.rs
@@ -34,8 +34,8 @@
 
     /// Refuses what waits for a model that may not be held any more.
     pub(crate) fn refuse_ungranted(&mut self) {
-        let ids =
-            self.remove_waiting_if(|core, item| core.in_force.may_hold(&item.model).is_none());
+        let ids = self
+            .remove_waiting_if(|core, item| core.in_force.servable_model(&item.model).is_none());
         for id in ids {
             let message = "the target gives the model back";
             let refusal = Refusal::not_run(Reason::NotGranted, RETRY_ELSEWHERE_MS, message);
--- a/crates/stair-agent/src/slots.rs
+++ b/crates/stair-agent/src/slots.rs
@@ -157,7 +157,7 @@
             self.record_use(ended.item.as_ref());
             self.record_end(ended.key);
             if let Some(run) = run {
-                self.items.ran(ended.key, ended.max_tokens, run);
+                self.items.observe_run(ended.key, ended.max_tokens, run);
             }
         }
         self.runs.end(self.now(), id);
--- a/crates/stair-agent/tests/common/engine.rs
+++ b/crates/stair-agent/tests/common/engine.rs
@@ -38,7 +38,7 @@
     /// Completions wait until this is true.
     pub(crate) open: watch::Sender<bool>,
     /// A streamed answer sends its second half once this is true.
-    pub(crate) rest: watch::Sender<bool>,
+    pub(crate) second_half: watch::Sender<bool>,
     /// Kept, so that the listener goes on.
     _stop: watch::Sender<bool>,
 }
@@ -51,7 +51,7 @@
     loads: u32,
     runs: Vec<String>,
     most_mib: u64,
-    over: bool,
+    exceeded_memory: bool,
     lose_loads: u32,
     fail_loads: u32,
     load_time: Duration,
@@ -69,7 +69,7 @@
                 ..State::default()
             })),
             open: watch::Sender::new(true),
-            rest: watch::Sender::new(true),
+            second_half: watch::Sender::new(true),
             _stop: stop,
         };
         let handler = engine.clone();
@@ -79,7 +79,7 @@
             stopping,
             move |req| {
                 let engine = handler.clone();
-                async move { engine.answer(req).await }
+                async move { engine.respond(req).await }
             },
         ));
         engine
@@ -112,8 +112,8 @@
     }
 
     /// Tells whether a load came for which there was no room.
-    pub(crate) fn was_over(&self) -> bool {
-        self.state().over
+    pub(crate) fn exceeded_memory(&self) -> bool {
+        self.state().exceeded_memory
     }
 
     /// The next so many loads take effect and their answers are lost.
@@ -138,8 +138,8 @@
     /// Returns the adapters held on a model.
     pub(crate) fn adapters(&self, model: &str) -> usize {
         let state = self.state();
-        let held = state.models.get(model);
-        held.map_or(0, |m| m["adapters"].as_array().expect("a list").len())
+        let model = state.models.get(model);
+        model.map_or(0, |m| m["adapters"].as_array().expect("a list").len())
     }
 
     /// Loses all models, as a restart does.
@@ -147,7 +147,7 @@
         self.state().models.clear();
     }
 
-    async fn answer(&self, req: Request<Incoming>) -> Response<Body> {
+    async fn respond(&self, req: Request<Incoming>) -> Response<Body> {
         let path = req.uri().path().to_owned();
         let id = req.headers().get("x-request-id").cloned();
         let id = id.and_then(|v| v.to_str().ok().map(str::to_owned));
@@ -193,16 +193,16 @@
             let needs = sent["memory_mib"].as_u64().unwrap_or_default();
             let taken = state.taken();
             if taken + needs > state.memory_mib {
-                state.over = true;
+                state.exceeded_memory = true;
                 return reply(
                     StatusCode::INSUFFICIENT_STORAGE,
                     &json!({"error": "no-memory"}),
                 );
             }
             let name = sent["model"].as_str().unwrap_or_default().to_owned();
-            let held = json!({"name": name, "version": sent["version"], "memory_mib": needs,
+            let model = json!({"name": name, "version": sent["version"], "memory_mib": needs,
                 "state": "loaded", "adapters": []});
-            state.models.insert(name, held);
+            state.models.insert(name, model);
             state.most_mib = state.most_mib.max(taken + needs);
         }
         if lose {
@@ -227,15 +227,15 @@
         let mut state = self.state();
         let needs = sent["memory_mib"].as_u64().unwrap_or_default();
         if state.taken() + needs > state.memory_mib {
-            state.over = true;
+            state.exceeded_memory = true;
         }
         let name = sent["model"].as_str().unwrap_or_default();
         let adapter = json!({"name": sent["adapter"], "version": sent["version"],
             "memory_mib": needs});
-        let Some(held) = state.models.get_mut(name) else {
+        let Some(model) = state.models.get_mut(name) else {
             return reply(StatusCode::NOT_FOUND, &json!({}));
         };
-        held["adapters"]
+        model["adapters"]
             .as_array_mut()
             .expect("a list")
             .push(adapter);
@@ -245,10 +245,10 @@
     fn unload_adapter(&self, sent: &Value) -> Response<Body> {
         let mut state = self.state();
         let name = sent["model"].as_str().unwrap_or_default();
-        let Some(held) = state.models.get_mut(name) else {
+        let Some(model) = state.models.get_mut(name) else {
             return reply(StatusCode::NOT_FOUND, &json!({}));
         };
-        let adapters = held["adapters"].as_array_mut().expect("a list");
+        let adapters = model["adapters"].as_array_mut().expect("a list");
         adapters.retain(|a| a["name"] != sent["adapter"]);
         reply(StatusCode::OK, &json!({}))
     }
@@ -264,10 +264,10 @@
             return reply(StatusCode::OK, &json!({"text": "done"}));
         }
         let (tx, body) = body::channel(4);
-        let mut rest = self.rest.subscribe();
+        let mut second_half = self.second_half.subscribe();
         tokio::spawn(async move {
             let _ = tx.send(Some(Bytes::from_static(b"data: one\n\n"))).await;
-            let _ = rest.wait_for(|r| *r).await;
+            let _ = second_half.wait_for(|r| *r).await;
             let _ = tx.send(Some(Bytes::from_static(b"data: two\n\n"))).await;
             let _ = tx.send(None).await;
         });
@@ -280,13 +280,14 @@
 
 impl State {
     fn taken(&self) -> u64 {
-        let held = self.models.values();
-        held.map(|m| {
-            let adapters = m["adapters"].as_array().expect("a list").iter();
-            let adapters = adapters.map(|a| a["memory_mib"].as_u64().unwrap_or_default());
-            m["memory_mib"].as_u64().unwrap_or_default() + adapters.sum::<u64>()
-        })
-        .sum()
+        let models = self.models.values();
+        models
+            .map(|m| {
+                let adapters = m["adapters"].as_array().expect("a list").iter();
+                let adapters = adapters.map(|a| a["memory_mib"].as_u64().unwrap_or_default());
+                m["memory_mib"].as_u64().unwrap_or_default() + adapters.sum::<u64>()
+            })
+            .sum()
     }
 
     fn check_fence(&mut self, sent: &Value) -> Option<Response<Body>> {
--- a/crates/stair-agent/tests/common/entry.rs
+++ b/crates/stair-agent/tests/common/entry.rs
@@ -52,7 +52,7 @@
 #[derive(Clone)]
 pub(crate) struct FakeEntry {
     pub(crate) addr: SocketAddr,
-    pub(crate) heard: Arc<Mutex<Heard>>,
+    pub(crate) received: Arc<Mutex<Received>>,
     assignment: watch::Sender<Option<Assignment>>,
     dialer: Dialer,
     listener: Listener,
@@ -60,10 +60,10 @@
 
 /// What agents said.
 #[derive(Default)]
-pub(crate) struct Heard {
+pub(crate) struct Received {
     pub(crate) hellos: Vec<Hello>,
-    pub(crate) said: Vec<AgentControl>,
-    pub(crate) turns: u32,
+    pub(crate) messages: Vec<AgentControl>,
+    pub(crate) load_slots: u32,
 }
 
 impl FakeEntry {
@@ -73,7 +73,7 @@
         let entry = Self {
             addr: listener.addr().expect("is bound"),
             listener: listener.clone(),
-            heard: Arc::default(),
+            received: Arc::default(),
             assignment: watch::Sender::new(None),
             dialer: Dialer::new(&keys, Duration::from_secs(10)).expect("the keys are good"),
         };
@@ -97,11 +97,16 @@
     }
 
     /// Tells whether an agent said something.
-    pub(crate) fn has_heard<F>(&self, wanted: F) -> bool
+    pub(crate) fn has_received<F>(&self, condition: F) -> bool
     where
         F: Fn(&AgentControl) -> bool,
     {
-        self.heard.lock().expect("lock").said.iter().any(wanted)
+        self.received
+            .lock()
+            .expect("lock")
+            .messages
+            .iter()
+            .any(condition)
     }
 
     async fn streams(self, link: Link) {
@@ -113,12 +118,12 @@
     async fn stream(self, mut tx: SendStream, mut rx: RecvStream) {
         match frame::read_message(&mut rx).await {
             Ok(Opening::Agent(hello)) => {
-                self.heard.lock().expect("lock").hellos.push(hello);
-                tokio::spawn(self.clone().hear(rx));
-                self.tell(tx).await;
+                self.received.lock().expect("lock").hellos.push(hello);
+                tokio::spawn(self.clone().receive(rx));
+                self.send_assignments(tx).await;
             }
             Ok(Opening::LoadSlot(_)) => {
-                self.heard.lock().expect("lock").turns += 1;
+                self.received.lock().expect("lock").load_slots += 1;
                 let _ = frame::write_message(&mut tx, &LoadSlotReply::Queued).await;
                 let _ = frame::write_message(&mut tx, &LoadSlotReply::Granted).await;
                 let _ = frame::read_message::<_, ()>(&mut rx).await;
@@ -127,13 +132,13 @@
         }
     }
 
-    async fn hear(self, mut rx: RecvStream) {
-        while let Ok(said) = frame::read_message(&mut rx).await {
-            self.heard.lock().expect("lock").said.push(said);
+    async fn receive(self, mut rx: RecvStream) {
+        while let Ok(msg) = frame::read_message(&mut rx).await {
+            self.received.lock().expect("lock").messages.push(msg);
         }
     }
 
-    async fn tell(self, mut tx: SendStream) {
+    async fn send_assignments(self, mut tx: SendStream) {
         let mut assignment = self.assignment.subscribe();
         assignment.mark_changed();
         while assignment.changed().await.is_ok() {
@@ -162,8 +167,8 @@
 
 /// How a request ended.
 #[derive(Debug)]
-pub(crate) enum Ended {
-    Answered { status: u16, body: Vec<u8> },
+pub(crate) enum Outcome {
+    Response { status: u16, body: Vec<u8> },
     Refused(Refusal),
 }
 
@@ -218,7 +223,7 @@
         Self { tx, rx }
     }
 
-    pub(crate) async fn say(&mut self, msg: ToAgent) {
+    pub(crate) async fn write(&mut self, msg: ToAgent) {
         frame::write_message(&mut self.tx, &msg)
             .await
             .expect("writes");
@@ -245,31 +250,31 @@
     /// Waits until the agent is ready, and says that the work may start.
     pub(crate) async fn start(&mut self) {
         self.ready().await;
-        self.say(ToAgent::Start).await;
+        self.write(ToAgent::Start).await;
     }
 
     /// Starts the request once it is ready, and reads until its end.
-    pub(crate) async fn finish(&mut self) -> Ended {
+    pub(crate) async fn finish(&mut self) -> Outcome {
         let (mut status_now, mut body) = (0, Vec::new());
         loop {
             match self.next().await {
-                Frame::Message(FromAgent::Ready) => self.say(ToAgent::Start).await,
+                Frame::Message(FromAgent::Ready) => self.write(ToAgent::Start).await,
                 Frame::Message(FromAgent::Queued { .. }) => {}
                 Frame::Message(FromAgent::Head { status, .. }) => status_now = status,
                 Frame::Body(bytes) => body.extend_from_slice(&bytes),
                 Frame::Message(FromAgent::Refused { refusal, .. }) => {
-                    return Ended::Refused(refusal);
+                    return Outcome::Refused(refusal);
                 }
                 Frame::Message(FromAgent::End { .. }) => {
                     let status = status_now;
-                    return Ended::Answered { status, body };
+                    return Outcome::Response { status, body };
                 }
             }
         }
     }
 }
 
-impl Ended {
+impl Outcome {
     pub(crate) fn refusal(self) -> Refusal {
         match self {
             Self::Refused(refusal) => refusal,
@@ -279,7 +284,7 @@
 
     pub(crate) fn body(self) -> String {
         match self {
-            Self::Answered { status: 200, body } => String::from_utf8(body).expect("text"),
+            Self::Response { status: 200, body } => String::from_utf8(body).expect("text"),
             other => panic!("not answered but {other:?}"),
         }
     }
--- a/crates/stair-agent/tests/common/mod.rs
+++ b/crates/stair-agent/tests/common/mod.rs
@@ -229,14 +229,14 @@
 }
 
 /// Waits until the agent's state is as wanted, and returns it.
-pub(crate) async fn until<F>(agent: &Agent, wanted: F) -> Dump
+pub(crate) async fn until<F>(agent: &Agent, condition: F) -> Dump
 where
     F: Fn(&Dump) -> bool,
 {
     let reached = async {
         loop {
             let dump = agent.dump().await.expect("the agent lives");
-            if wanted(&dump) {
+            if condition(&dump) {
                 return dump;
             }
             tokio::time::sleep(Duration::from_millis(5)).await;
@@ -248,12 +248,12 @@
 }
 
 /// Waits until something holds that is not the agent's.
-pub(crate) async fn eventually<F>(wanted: F)
+pub(crate) async fn eventually<F>(condition: F)
 where
     F: Fn() -> bool,
 {
     let reached = async {
-        while !wanted() {
+        while !condition() {
             tokio::time::sleep(Duration::from_millis(5)).await;
         }
     };
--- a/crates/stair-agent/tests/engine_faults.rs
+++ b/crates/stair-agent/tests/engine_faults.rs
@@ -25,7 +25,7 @@
 // The engine loads a model and its answer is lost. A second load of it would be refused or take
 // the memory twice; treating it as not loaded would let another model overfill the accelerator.
 #[tokio::test(flavor = "multi_thread")]
-async fn lost_load_settled() {
+async fn lost_load_reconciled() {
     let mut world = World::new(&["m1", "m2"]).await;
     world.limits.load_timeout_ms = 200;
     world.engine.lose_loads(1);
@@ -51,10 +51,10 @@
     Stream::offer(&link, 1, "m1", false).await.finish().await;
 
     world.engine.restart();
-    let found_out = Stream::offer(&link, 2, "m1", false).await.finish().await;
+    let first = Stream::offer(&link, 2, "m1", false).await.finish().await;
     let next = Stream::offer(&link, 3, "m1", false).await.finish().await;
 
-    assert_eq!(found_out.refusal().verdict, Verdict::NotRun);
+    assert_eq!(first.refusal().verdict, Verdict::NotRun);
     assert_eq!(next.body(), r#"{"text":"done"}"#);
     assert_eq!(world.engine.loads(), 2);
 }
@@ -135,7 +135,7 @@
         let ended = Stream::offer(&link, id, name, false).await.finish().await;
         assert_eq!(ended.body(), r#"{"text":"done"}"#);
     }
-    assert!(!world.engine.was_over());
+    assert!(!world.engine.exceeded_memory());
     assert_eq!(world.engine.models(), ["m2", "m3"]);
 }
 
--- a/crates/stair-agent/tests/grants.rs
+++ b/crates/stair-agent/tests/grants.rs
@@ -14,8 +14,8 @@
 };
 use stair_wire::control::AgentControl;
 
-fn releases(said: &AgentControl, id: u64) -> bool {
-    match said {
+fn releases(msg: &AgentControl, id: u64) -> bool {
+    match msg {
         AgentControl::Released { grants } => grants.iter().any(|(_, g)| *g == GrantId(id)),
         _ => false,
     }
@@ -44,7 +44,7 @@
     let refused = Stream::offer(&link, 2, "m1", false).await.finish().await;
     assert_eq!(refused.refusal().reason, Reason::NotGranted);
     assert!(
-        !world.entry.has_heard(|s| releases(s, 1)),
+        !world.entry.has_received(|s| releases(s, 1)),
         "released too early"
     );
     assert_eq!(world.engine.models(), ["m1"]);
@@ -52,7 +52,7 @@
     world.engine.open.send_replace(true);
 
     assert_eq!(running.finish().await.body(), r#"{"text":"done"}"#);
-    eventually(|| world.entry.has_heard(|s| releases(s, 1))).await;
+    eventually(|| world.entry.has_received(|s| releases(s, 1))).await;
     assert!(world.engine.models().is_empty());
 }
 
@@ -90,7 +90,7 @@
     world.write_grants();
     let _agent = world.agent().await;
 
-    eventually(|| world.entry.has_heard(|s| releases(s, 1))).await;
+    eventually(|| world.entry.has_received(|s| releases(s, 1))).await;
     assert!(world.engine.models().is_empty());
 }
 
@@ -111,5 +111,5 @@
     assert_eq!(world.engine.version("m1").as_deref(), Some("v2"));
     let in_force =
         |s: &AgentControl| matches!(s, AgentControl::InForce { config } if config.0 == 2);
-    eventually(|| world.entry.has_heard(in_force)).await;
+    eventually(|| world.entry.has_received(in_force)).await;
 }
--- a/crates/stair-agent/tests/lifecycle.rs
+++ b/crates/stair-agent/tests/lifecycle.rs
@@ -46,7 +46,7 @@
 // An agent that wrote again would come to another number than entries have read; one that gave up
 // would leave its target unused.
 #[tokio::test(flavor = "multi_thread")]
-async fn lost_put_settled() {
+async fn lost_put_reconciled() {
     let world = World::new(&["m1"]).await;
     world.store.refuse(3);
     world.store.fail_write(Kind::Incarnation, Fault::LostAfter);
@@ -99,13 +99,13 @@
     assert_eq!(running.finish().await.body(), r#"{"text":"done"}"#);
     stopped.await.expect("ends").expect("stops");
     let leaving = |s: &AgentControl| *s == AgentControl::Leaving;
-    assert!(world.entry.has_heard(leaving));
+    assert!(world.entry.has_received(leaving));
 }
 
 // An idle agent stops. Nothing holds it up, and its entries have to hear that it leaves, or they
 // offer it requests until the platform's list says so.
 #[tokio::test(flavor = "multi_thread")]
-async fn idle_says_leaving() {
+async fn idle_announces_drain() {
     let world = World::new(&["m1"]).await;
     let agent = world.agent().await;
     eventually(|| !agent.linked().is_empty()).await;
@@ -113,5 +113,5 @@
     agent.stop().await.expect("stops");
 
     let leaving = |s: &AgentControl| *s == AgentControl::Leaving;
-    eventually(|| world.entry.has_heard(leaving)).await;
+    eventually(|| world.entry.has_received(leaving)).await;
 }
--- a/crates/stair-agent/tests/once.rs
+++ b/crates/stair-agent/tests/once.rs
@@ -34,7 +34,7 @@
     let link = world.entry.link(&agent).await;
     let mut stream = Stream::offer(&link, 1, "m1", false).await;
     stream.start().await;
-    stream.say(ToAgent::Start).await;
+    stream.write(ToAgent::Start).await;
     eventually(|| !world.engine.runs().is_empty()).await;
 
     let again = Stream::offer(&link, 1, "m1", false).await.finish().await;
@@ -54,7 +54,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn resumes_at_offset() {
     let world = World::new(&["m1"]).await;
-    world.engine.rest.send_replace(false);
+    world.engine.second_half.send_replace(false);
     let agent = world.agent().await;
     let link = world.entry.link(&agent).await;
     let mut stream = Stream::offer(&link, 1, "m1", true).await;
@@ -72,7 +72,7 @@
     let link = world.entry.link(&agent).await;
     let offset = first.len() as u64;
     let mut resumed = Stream::resume(&link, 1, offset, agent.incarnation()).await;
-    world.engine.rest.send_replace(true);
+    world.engine.second_half.send_replace(true);
 
     let Frame::Message(FromAgent::Head { offset: from, .. }) = resumed.next().await else {
         panic!("no head came");
@@ -106,7 +106,7 @@
 
     let mut resumed = Stream::resume(&link, 1, 0, agent.incarnation()).await;
     let refusal = resumed.finish().await.refusal();
-    stream.say(ToAgent::Start).await;
+    stream.write(ToAgent::Start).await;
     let late = stream.finish().await.refusal();
 
     assert_eq!(refusal.verdict, Verdict::NotRun);
@@ -159,7 +159,7 @@
     stream.start().await;
     eventually(|| !world.engine.runs().is_empty()).await;
 
-    stream.say(ToAgent::Cancel).await;
+    stream.write(ToAgent::Cancel).await;
 
     let refusal = stream.finish().await.refusal();
     assert_eq!(refusal.verdict, Verdict::MayHaveRun);
--- a/crates/stair-agent/tests/queue.rs
+++ b/crates/stair-agent/tests/queue.rs
@@ -59,7 +59,7 @@
 // All callers of a cold model have less time than a load is thought to take. Each is refused, and
 // if nobody's request ever loaded it, none would be served for ever.
 #[tokio::test(flavor = "multi_thread")]
-async fn refused_wakes_model() {
+async fn refusal_triggers_load() {
     let world = World::new(&["m1"]).await;
     let agent = world.agent().await;
     let link = world.entry.link(&agent).await;
--- a/crates/stair-agent/tests/serve.rs
+++ b/crates/stair-agent/tests/serve.rs
@@ -21,7 +21,7 @@
 
     assert_eq!(ended.body(), r#"{"text":"done"}"#);
     assert_eq!(world.engine.models(), ["m1"]);
-    assert_eq!(world.entry.heard.lock().expect("lock").turns, 1);
+    assert_eq!(world.entry.received.lock().expect("lock").load_slots, 1);
     agent.stop().await.expect("stops");
 }
 
@@ -92,6 +92,6 @@
     }
 
     assert_eq!(tasks.join_all().await.len(), 40);
-    assert!(!world.engine.was_over(), "a load had no room");
+    assert!(!world.engine.exceeded_memory(), "a load had no room");
     assert!(world.engine.loads() >= 4);
 }
