--- a/crates/stair-agent/src/admit.rs
+++ b/crates/stair-agent/src/admit.rs
@@ -29,44 +29,44 @@
 use crate::{
     control::{
         Core,
-        Pending, //
+        Unstarted, //
     },
-    msg::Event,
+    msg::OfferEvent,
     refuse::{
-        drained_ms,
-        engine_lost,
-        leaving,
+        drain_retry_ms,
+        draining_refusal,
+        engine_down_refusal,
         millis, //
     },
 };
 
 /// When a caller may come back to another target after this one refused for good.
-pub(crate) const ELSEWHERE_MS: u32 = 100;
+pub(crate) const RETRY_ELSEWHERE_MS: u32 = 100;
 
 impl Core {
     /// Queues an offer or refuses it at once.
     ///
     /// Under load a request that cannot finish in time would take a slot from one that can, and
     /// its caller would wait for nothing; so it is refused while another target may still take it.
-    pub(crate) fn offer(
+    pub(crate) fn admit(
         &mut self,
         offer: Box<Offer>,
         body: Bytes,
-        events: mpsc::UnboundedSender<Event>,
+        events: mpsc::UnboundedSender<OfferEvent>,
     ) {
         let (now, id) = (self.now(), offer.id);
         if !self.runs.offer(now, id) {
             let refusal = Refusal::may_have_run(Reason::Duplicate, 0, "offered before");
-            let _ = events.send(Event::Refused(refusal, self.load(None)));
+            let _ = events.send(OfferEvent::Refused(refusal, self.load(None)));
             return;
         }
-        let checked = match (self.takes_no_work(), self.engine_is_lost()) {
-            (true, _) => Err(leaving()),
-            (false, true) => Err(engine_lost()),
+        let checked = match (self.refuses_work(), self.engine_is_down()) {
+            (true, _) => Err(draining_refusal()),
+            (false, true) => Err(engine_down_refusal()),
             (false, false) => self.item_of(&offer.work),
         };
         let item = checked.as_ref().ok().cloned().flatten();
-        let pending = Pending {
+        let unstarted = Unstarted {
             key: self.items.key(item.as_ref()),
             deadline: now + Duration::from_millis(offer.time_left_ms.into()),
             offer,
@@ -74,15 +74,15 @@
             events,
         };
         match checked {
-            Ok(_) => self.enqueue(pending),
-            Err(refusal) => self.refuse(pending, refusal),
+            Ok(_) => self.enqueue(unstarted),
+            Err(refusal) => self.refuse(unstarted, refusal),
         }
     }
 
     fn item_of(&self, work: &Work) -> Result<Option<Item>, Refusal> {
         let not_granted = |message: &str| {
             let reason = Reason::NotGranted;
-            Err(Refusal::not_run(reason, ELSEWHERE_MS, message))
+            Err(Refusal::not_run(reason, RETRY_ELSEWHERE_MS, message))
         };
         match (work, &self.args.target) {
             (Work::Service { service }, TargetSettings::Service { service: own, .. })
@@ -91,7 +91,7 @@
                 Ok(None)
             }
             (Work::Model { model, adapter }, TargetSettings::Engine { .. }) => {
-                let Some(spec) = self.in_force.may_hold(model) else {
+                let Some(spec) = self.in_force.servable_model(model) else {
                     return not_granted("the target holds no grant for the model");
                 };
                 if let Some(name) = adapter
@@ -109,49 +109,51 @@
         }
     }
 
-    fn enqueue(&mut self, pending: Pending) {
+    fn enqueue(&mut self, unstarted: Unstarted) {
         let now = self.now();
-        let waiting = self.waiting(&pending, now);
-        let est = self.estimate(pending.key);
+        let waiting = self.waiting(&unstarted, now);
+        let est = self.estimate(unstarted.key);
         match self.queue.push(now, waiting, &est) {
             Outcome::Queued { displaced } => {
                 if let Some(id) = displaced {
                     let message = "work of a higher tier took the place";
                     self.refuse_later(id, Reason::Displaced, message);
                 }
-                self.note_arrival(pending.key);
-                let load = self.load(self.items.get(pending.key));
-                let _ = pending.events.send(Event::Queued(load));
-                let id = pending.offer.id;
-                let at = self.pending.partition_point(|p| p.offer.id < id);
-                self.pending.insert(at, pending);
+                self.record_arrival(unstarted.key);
+                let load = self.load(self.items.get(unstarted.key));
+                let _ = unstarted.events.send(OfferEvent::Queued(load));
+                let id = unstarted.offer.id;
+                let at = self.unstarted.partition_point(|p| p.offer.id < id);
+                self.unstarted.insert(at, unstarted);
             }
             Outcome::Refused {
                 reason,
                 retry_after,
             } => {
                 if !est.ready_in.is_zero() {
-                    self.wake(pending.key, pending.offer.rank);
+                    self.queue_on_demand(unstarted.key, unstarted.offer.rank);
                 }
                 let message = match reason {
                     Reason::QueueFull => "the queue is full",
                     _ => "the expected finish lies after the deadline",
                 };
-                let refusal = Refusal::not_run(reason, drained_ms(retry_after), message);
-                self.refuse(pending, refusal);
+                let refusal = Refusal::not_run(reason, drain_retry_ms(retry_after), message);
+                self.refuse(unstarted, refusal);
             }
         }
     }
 
-    fn waiting(&self, pending: &Pending, now: Duration) -> Waiting<RequestId> {
+    fn waiting(&self, unstarted: &Unstarted, now: Duration) -> Waiting<RequestId> {
         Waiting {
-            key: pending.offer.id,
-            rank: pending.offer.rank,
-            deadline: pending.deadline,
+            key: unstarted.offer.id,
+            rank: unstarted.offer.rank,
+            deadline: unstarted.deadline,
             arrived: now,
-            expected_run: self.items.run(pending.key, pending.offer.max_tokens),
-            bytes: u32::try_from(pending.body.len()).unwrap_or(u32::MAX),
-            model: pending.key,
+            expected_run: self
+                .items
+                .expected_run(unstarted.key, unstarted.offer.max_tokens),
+            bytes: u32::try_from(unstarted.body.len()).unwrap_or(u32::MAX),
+            model: unstarted.key,
         }
     }
 
@@ -160,12 +162,12 @@
     /// When all callers have less time than the load is expected to take, none would ever wait for
     /// it, and an expectation that is wrong would never be put right. They find it loaded when
     /// they come back.
-    fn wake(&mut self, key: ModelKey, rank: TierRank) {
+    fn queue_on_demand(&mut self, key: ModelKey, rank: TierRank) {
         let Some(item) = self.items.get(key).cloned() else {
             return;
         };
-        if !self.woken.iter().any(|(other, _)| *other == item) {
-            self.woken.push((item, rank));
+        if !self.on_demand.iter().any(|(other, _)| *other == item) {
+            self.on_demand.push((item, rank));
         }
     }
 
--- a/crates/stair-agent/src/lib.rs
+++ b/crates/stair-agent/src/lib.rs
@@ -1,7 +1,7 @@
 //! The process beside each target, and the only one that orders its engine.
 //!
 //! The way of a request: [`links`] accepts the stream, `offers` reads the offer, `control` decides
-//! when it may run, `run` runs it at the target, `answers` keeps the answer, and `resume` finds it
+//! when it may run, `run` runs it at the target, `responses` keeps the answer, and `resume` finds it
 //! again after a link broke.
 //!
 //! - [`start`]: the whole agent, from the exclusive bind to the end of a graceful stop.
@@ -13,29 +13,29 @@
 #![forbid(unsafe_code)]
 
 mod admit;
-mod answers;
+mod bootstrap;
 mod control;
 mod control_links;
-mod crowding;
-mod doubt;
-mod early;
 mod engine;
 mod incarnation;
-mod learn;
 mod links;
+mod load_slot;
 mod loads;
 mod lock;
+mod memory_pressure;
+mod metrics;
 mod msg;
 mod offers;
 mod operator;
 mod options;
 mod orders;
+mod pending_offers;
+mod reconcile;
 mod refuse;
-mod report;
+mod responses;
 mod resume;
 mod run;
 mod slots;
-mod turn;
 
 pub mod assignment;
 pub mod dump;
--- a/crates/stair-agent/src/report.rs
+++ b/crates/stair-agent/src/metrics.rs
@@ -16,52 +16,53 @@
 use crate::{
     control::Core,
     engine::{
-        Ordered,
+        OrderOutcome,
         Source, //
     },
 };
 
 /// Time between reports of what has no event of its own.
-const EVERY: Duration = Duration::from_secs(1);
+const METRICS_INTERVAL: Duration = Duration::from_secs(1);
 
 impl Core {
     /// Reports queue lengths and idle accelerator time, about once a second.
-    pub(crate) fn report(&mut self) {
+    pub(crate) fn emit_metrics(&mut self) {
         let now = self.now();
-        if now - self.reported < EVERY {
+        if now - self.metrics_emitted < METRICS_INTERVAL {
             return;
         }
-        self.reported = now;
+        self.metrics_emitted = now;
         // What was used no more and is gone from the engine is forgotten here as well.
         let ledger = &self.ledger;
-        self.used.retain(|(item, _)| ledger.get(item).is_some());
+        self.last_used
+            .retain(|(item, _)| ledger.get(item).is_some());
         for tier in self.in_force.tiers() {
             let waiting = self.queue.waiting(tier.rank);
             let waiting = u64::try_from(waiting).unwrap_or(u64::MAX);
             self.args.metrics.queue_length(&tier.name, waiting);
         }
-        let holds = |e: &stair_state::ledger::Entry| e.state == State::Loaded;
-        if self.active.is_empty() && self.ledger.entries().iter().any(holds) {
+        let is_loaded = |e: &stair_state::ledger::Entry| e.state == State::Loaded;
+        if self.active.is_empty() && self.ledger.entries().iter().any(is_loaded) {
             self.args.metrics.idle_accelerator_seconds(1);
         }
         self.args.metrics.flush();
     }
 
-    pub(crate) fn report_load(
+    pub(crate) fn emit_load_metrics(
         &self,
         item: &Item,
-        ended: Ordered,
+        outcome: OrderOutcome,
         source: Option<Source>,
         took: Duration,
     ) {
-        let outcome = match ended {
-            Ordered::Answer(Answer::Done) => LoadOutcome::Loaded,
-            Ordered::Answer(Answer::Lost) | Ordered::Unanswered => LoadOutcome::Unknown,
+        let label = match outcome {
+            OrderOutcome::Reply(Answer::Done) => LoadOutcome::Loaded,
+            OrderOutcome::Reply(Answer::Lost) | OrderOutcome::NoReply => LoadOutcome::Unknown,
             _ => LoadOutcome::Failed,
         };
         let metrics = &self.args.metrics;
-        metrics.load(outcome);
-        if outcome != LoadOutcome::Loaded {
+        metrics.load(label);
+        if label != LoadOutcome::Loaded {
             return;
         }
         metrics.latency(Latency::ColdStart, took);
--- a/crates/stair-agent/src/msg.rs
+++ b/crates/stair-agent/src/msg.rs
@@ -44,15 +44,15 @@
 };
 
 use crate::{
-    answers::Answer,
     assignment::InForce,
     dump::Dump,
     engine::{
         Engine,
-        Listed,
-        Ordered,
+        Inventory,
+        OrderOutcome,
         Source, //
     },
+    responses::Response,
 };
 
 /// What the control thread is told.
@@ -60,11 +60,11 @@
     Offer {
         offer: Box<Offer>,
         body: Bytes,
-        events: mpsc::UnboundedSender<Event>,
+        events: mpsc::UnboundedSender<OfferEvent>,
     },
     Start {
         id: RequestId,
-        reply: oneshot::Sender<Option<Arc<Answer>>>,
+        reply: oneshot::Sender<Option<Arc<Response>>>,
     },
     Withdraw {
         id: RequestId,
@@ -72,7 +72,7 @@
     Resume {
         id: RequestId,
         incarnation: FencingToken,
-        reply: oneshot::Sender<Result<Arc<Answer>, Refusal>>,
+        reply: oneshot::Sender<Result<Arc<Response>, Refusal>>,
     },
     RunEnded {
         id: RequestId,
@@ -88,15 +88,15 @@
     Vm(VmNotice),
     LoadEnded {
         item: Item,
-        ended: Ordered,
+        outcome: OrderOutcome,
         source: Option<Source>,
         took: Duration,
     },
     UnloadEnded {
         item: Item,
-        ended: Ordered,
+        outcome: OrderOutcome,
     },
-    Listed(Option<Listed>),
+    Inventory(Option<Inventory>),
     Tick,
     Stop,
     Dump {
@@ -106,22 +106,22 @@
 
 /// What the stream of an offer is told.
 #[derive(Debug)]
-pub(crate) enum Event {
+pub(crate) enum OfferEvent {
     Queued(Load),
     Ready,
-    Started(Arc<Answer>),
+    Started(Arc<Response>),
     Refused(Refusal, Load),
 }
 
 /// What the agent tells its entries.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub(crate) struct Statement {
+pub(crate) struct AgentReport {
     pub(crate) config: ConfigVersion,
     pub(crate) shards: Vec<(ShardId, u64)>,
     pub(crate) released: Vec<(ShardId, GrantId)>,
     /// Grants whose models wait for room.
-    pub(crate) crowded: Vec<(ShardId, GrantId)>,
-    pub(crate) leaving: bool,
+    pub(crate) memory_pressure: Vec<(ShardId, GrantId)>,
+    pub(crate) draining: bool,
     /// Grants in force.
     pub(crate) granted: usize,
     /// Grants that are being revoked.
@@ -131,7 +131,7 @@
 /// What the control publishes.
 #[derive(Clone)]
 pub(crate) struct Published {
-    pub(crate) statement: watch::Sender<Statement>,
+    pub(crate) report: watch::Sender<AgentReport>,
     pub(crate) load: watch::Sender<Load>,
     /// Requests that run, and answers that are being read.
     pub(crate) busy: watch::Sender<usize>,
--- a/crates/stair-agent/src/orders.rs
+++ b/crates/stair-agent/src/orders.rs
@@ -13,7 +13,7 @@
     RequestId,
     TierRank, //
 };
-use stair_wire::control::TurnRequest;
+use stair_wire::control::LoadSlotRequest;
 use tokio::time::Instant;
 
 use crate::{
@@ -22,12 +22,12 @@
         Failure, //
     },
     engine::{
-        Ordered,
+        OrderOutcome,
         Source, //
     },
-    loads::waits_for,
-    msg::Msg,
-    turn, //
+    load_slot,
+    loads::requires,
+    msg::Msg, //
 };
 
 /// Pause after a first failed load; it doubles with each failure up to [`MAX_RETRY`].
@@ -54,23 +54,23 @@
         self.orders += 1;
         self.loads += 1;
         self.loading.push((item.clone(), self.now()));
-        self.touch(Some(item));
+        self.record_use(Some(item));
         let left = deadline.saturating_sub(self.now());
-        let request = TurnRequest {
+        let request = LoadSlotRequest {
             rank,
             time_left_ms: u32::try_from(left.as_millis()).unwrap_or(u32::MAX),
         };
         let entries = self.args.entries.borrow().clone();
         let (me, item, pool) = (self.me.clone(), item.clone(), self.args.pool.clone());
         tokio::spawn(async move {
-            let turn = turn::take(&pool, &entries, request).await;
+            let slot = load_slot::acquire(&pool, &entries, request).await;
             let began = Instant::now();
-            let (ended, source) = engine.load(&item, &version, memory_mib).await;
-            drop(turn);
+            let (outcome, source) = engine.load(&item, &version, memory_mib).await;
+            drop(slot);
             let took = began.elapsed();
             let _ = me.send_message(Msg::LoadEnded {
                 item,
-                ended,
+                outcome,
                 source,
                 took,
             });
@@ -85,59 +85,59 @@
         self.orders += 1;
         let (me, item) = (self.me.clone(), item.clone());
         tokio::spawn(async move {
-            let ended = engine.unload(&item).await;
-            let _ = me.send_message(Msg::UnloadEnded { item, ended });
+            let outcome = engine.unload(&item).await;
+            let _ = me.send_message(Msg::UnloadEnded { item, outcome });
         });
     }
 
     pub(crate) fn load_ended(
         &mut self,
         item: &Item,
-        ended: Ordered,
+        outcome: OrderOutcome,
         source: Option<Source>,
         took: Duration,
     ) {
-        self.report_load(item, ended, source, took);
+        self.emit_load_metrics(item, outcome, source, took);
         self.orders -= 1;
         self.loading.retain(|(other, _)| other != item);
-        match ended {
-            Ordered::Answer(answer) => self.ledger.end_load(item, answer),
-            Ordered::Unanswered => {
+        match outcome {
+            OrderOutcome::Reply(reply) => self.ledger.end_load(item, reply),
+            OrderOutcome::NoReply => {
                 self.ledger.end_load(item, Answer::Lost);
-                self.note_unanswered(item);
+                self.record_unconfirmed(item);
             }
-            Ordered::Unexpected => {
+            OrderOutcome::Unexpected => {
                 self.ledger.end_load(item, Answer::Refused);
                 self.relist = true;
             }
-            Ordered::Superseded => {
+            OrderOutcome::Superseded => {
                 self.ledger.end_load(item, Answer::Refused);
-                self.superseded();
+                self.stop_superseded();
             }
         }
-        if ended == Ordered::Answer(Answer::Done) {
-            self.items.loaded(item, took);
+        if outcome == OrderOutcome::Reply(Answer::Done) {
+            self.items.observe_load(item, took);
             self.failures.retain(|f| f.item != *item);
-            self.touch(Some(item));
+            self.record_use(Some(item));
             let key = self.items.key(Some(item));
-            self.keep.finished(key, self.now());
+            self.keep_alive.finished(key, self.now());
         } else {
             self.load_failed(item);
         }
     }
 
-    pub(crate) fn unload_ended(&mut self, item: &Item, ended: Ordered) {
+    pub(crate) fn unload_ended(&mut self, item: &Item, outcome: OrderOutcome) {
         self.orders -= 1;
-        match ended {
-            Ordered::Answer(answer) => self.ledger.end_unload(item, answer),
-            Ordered::Unanswered => {
+        match outcome {
+            OrderOutcome::Reply(reply) => self.ledger.end_unload(item, reply),
+            OrderOutcome::NoReply => {
                 self.ledger.end_unload(item, Answer::Lost);
-                self.note_unanswered(item);
+                self.record_unconfirmed(item);
             }
-            Ordered::Unexpected => self.ledger.end_unload(item, Answer::Lost),
-            Ordered::Superseded => {
+            OrderOutcome::Unexpected => self.ledger.end_unload(item, Answer::Lost),
+            OrderOutcome::Superseded => {
                 self.ledger.end_unload(item, Answer::Lost);
-                self.superseded();
+                self.stop_superseded();
             }
         }
     }
@@ -159,10 +159,10 @@
             self.refuse_waiting(item, "the model failed to load");
             return;
         }
-        let finish = retry_at + self.items.load(item);
+        let finish = retry_at + self.items.expected_load(item);
         let waiting = self.queue.iter().filter(|w| w.deadline < finish);
         let late: Vec<RequestId> = waiting
-            .filter(|w| waits_for(self.items.get(w.model), item))
+            .filter(|w| requires(self.items.get(w.model), item))
             .map(|w| w.key)
             .collect();
         for id in &late {
@@ -172,12 +172,12 @@
     }
 
     pub(crate) fn refuse_waiting(&mut self, item: &Item, message: &str) {
-        let gone = self.take_if(|_, needed| waits_for(Some(needed), item));
-        self.refuse_failed(gone, message);
+        let removed = self.remove_waiting_if(|_, needed| requires(Some(needed), item));
+        self.refuse_failed(removed, message);
     }
 
-    fn refuse_failed(&mut self, gone: Vec<RequestId>, message: &str) {
-        for id in gone {
+    fn refuse_failed(&mut self, removed: Vec<RequestId>, message: &str) {
+        for id in removed {
             let retry = u32::try_from(MAX_RETRY.as_millis()).unwrap_or(u32::MAX);
             let refusal = Refusal::not_run(Reason::LoadFailed, retry, message);
             self.refuse_id(id, refusal);
