--- a/crates/stair-entry/src/control/actor.rs
+++ b/crates/stair-entry/src/control/actor.rs
@@ -41,13 +41,13 @@
             Listed,
             decode, //
         },
+        load_slots::LoadSlotScheduler,
         moving::Moving,
         msg::Msg,
         state::{
             State,
             Versioned, //
         },
-        turns::Desk,
         writes::Release,
     },
     view::View,
@@ -66,7 +66,7 @@
     /// Where the view is published.
     pub view: watch::Sender<Arc<View>>,
     /// The turns at the weight store.
-    pub desk: Desk,
+    pub scheduler: LoadSlotScheduler,
 }
 
 /// The actor's own state.
@@ -312,11 +312,13 @@
         self.flush_sent = false;
         self.unproposed = true;
         let policy = &self.state.config.catalogue.policy;
-        self.args.desk.allow(stair_policy::load_order::Options {
-            loads_per_second: policy.weight_store.loads_per_second,
-            full_speed_loads: policy.weight_store.full_speed_loads,
-            ..stair_policy::load_order::Options::default()
-        });
+        self.args
+            .scheduler
+            .set_options(stair_policy::load_order::Options {
+                loads_per_second: policy.weight_store.loads_per_second,
+                full_speed_loads: policy.weight_store.full_speed_loads,
+                ..stair_policy::load_order::Options::default()
+            });
         self.publish();
         self.update_agents();
         self.write_releases(myself);
--- a/crates/stair-entry/src/control/links.rs
+++ b/crates/stair-entry/src/control/links.rs
@@ -40,13 +40,13 @@
 };
 
 use crate::control::{
+    load_slots::LoadSlotScheduler,
     msg::{
         AgentUp,
         Msg,
         Outbox,
         StreamId, //
     },
-    turns::Desk,
 };
 
 /// A peer that opens a stream and sends nothing is cut after this time.
@@ -55,19 +55,19 @@
 static NEXT_STREAM: AtomicU64 = AtomicU64::new(0);
 
 /// Accepts links until the listener is closed.
-pub async fn serve(listener: Listener, actor: ActorRef<Msg>, desk: Desk) {
+pub async fn serve(listener: Listener, actor: ActorRef<Msg>, scheduler: LoadSlotScheduler) {
     while let Some(link) = listener.accept().await {
-        tokio::spawn(serve_link(link, actor.clone(), desk.clone()));
+        tokio::spawn(serve_link(link, actor.clone(), scheduler.clone()));
     }
 }
 
-async fn serve_link(link: Link, actor: ActorRef<Msg>, desk: Desk) {
+async fn serve_link(link: Link, actor: ActorRef<Msg>, scheduler: LoadSlotScheduler) {
     while let Ok((tx, rx)) = link.accept().await {
         let actor = actor.clone();
-        let desk = desk.clone();
+        let scheduler = scheduler.clone();
         let peer = link.peer();
         tokio::spawn(async move {
-            if let Err(e) = serve_stream(tx, rx, actor, desk).await {
+            if let Err(e) = serve_stream(tx, rx, actor, scheduler).await {
                 warn!(Part::Links, "A stream of {peer} ended: {e}.");
             }
         });
@@ -78,13 +78,13 @@
     tx: SendStream,
     mut rx: RecvStream,
     actor: ActorRef<Msg>,
-    desk: Desk,
+    scheduler: LoadSlotScheduler,
 ) -> anyhow::Result<()> {
     let opening = frame::read_message(&mut rx);
     match tokio::time::timeout(OPENING_TIME, opening).await?? {
         Opening::Agent(hello) => serve_agent(tx, rx, actor, hello).await,
         Opening::Peer(PeerRequest::Snapshot) => serve_snapshot(tx, actor).await,
-        Opening::Turn(req) => serve_turn(tx, rx, &desk, req).await,
+        Opening::Turn(req) => serve_load_slot(tx, rx, &scheduler, req).await,
     }
 }
 
@@ -151,18 +151,18 @@
     Ok(())
 }
 
-async fn serve_turn(
+async fn serve_load_slot(
     mut tx: SendStream,
     mut rx: RecvStream,
-    desk: &Desk,
+    scheduler: &LoadSlotScheduler,
     req: TurnRequest,
 ) -> anyhow::Result<()> {
     let time_left = Duration::from_millis(u64::from(req.time_left_ms));
-    let mut turn = desk.ask(req.rank, time_left);
+    let mut lease = scheduler.request(req.rank, time_left);
     frame::write_message(&mut tx, &TurnReply::Queued).await?;
     let mut ended = [0; 1];
     tokio::select! {
-        () = turn.granted() => {}
+        () = lease.granted() => {}
         _ = rx.read(&mut ended) => return Ok(()),
     }
     frame::write_message(&mut tx, &TurnReply::Granted).await?;
--- a/crates/stair-entry/src/control/turns.rs
+++ b/crates/stair-entry/src/control/load_slots.rs
@@ -29,43 +29,43 @@
 
 /// A turn ends with its stream, and a stream with its link. The policy's own expiry is the second
 /// line: no load takes an hour.
-const HOLDER_TIMEOUT: Duration = Duration::from_secs(3600);
+const LEASE_TIMEOUT: Duration = Duration::from_secs(3600);
 
 /// Names one request for a turn.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-struct Ticket(u64);
+struct WaiterId(u64);
 
 /// Gives out turns. Cloning shares them.
 #[derive(Clone)]
-pub struct Desk {
+pub struct LoadSlotScheduler {
     inner: Arc<Inner>,
 }
 
 struct Inner {
     started: Instant,
-    book: Mutex<Book>,
+    state: Mutex<State>,
     changed: Notify,
 }
 
-struct Book {
-    turns: Turns<Ticket>,
+struct State {
+    slots: Turns<WaiterId>,
     waiters: Vec<Waiter>,
-    next_ticket: u64,
+    next_id: u64,
 }
 
 struct Waiter {
-    ticket: Ticket,
+    id: WaiterId,
     tx: oneshot::Sender<()>,
 }
 
 /// A request for a turn, or the turn itself; ends when dropped.
-pub struct Turn {
-    desk: Desk,
-    ticket: Ticket,
+pub struct LoadSlotLease {
+    scheduler: LoadSlotScheduler,
+    id: WaiterId,
     granted: oneshot::Receiver<()>,
 }
 
-impl Turn {
+impl LoadSlotLease {
     /// Waits until the load may start.
     pub async fn granted(&mut self) {
         // The sender is dropped without a word only with the desk itself.
@@ -73,103 +73,105 @@
     }
 }
 
-impl Drop for Turn {
+impl Drop for LoadSlotLease {
     fn drop(&mut self) {
-        let mut book = self.desk.book();
-        book.turns.cancel(self.ticket);
-        book.waiters.retain(|w| w.ticket != self.ticket);
-        drop(book);
-        self.desk.inner.changed.notify_one();
+        let mut state = self.scheduler.state();
+        state.slots.cancel(self.id);
+        state.waiters.retain(|w| w.id != self.id);
+        drop(state);
+        self.scheduler.inner.changed.notify_one();
     }
 }
 
-impl Desk {
+impl LoadSlotScheduler {
     /// Makes a desk and starts to give out turns.
     pub fn start(opts: Options) -> Self {
-        let desk = Self {
+        let scheduler = Self {
             inner: Arc::new(Inner {
                 started: Instant::now(),
-                book: Mutex::new(Book {
-                    turns: Turns::new(with_timeout(opts)),
+                state: Mutex::new(State {
+                    slots: Turns::new(with_lease_timeout(opts)),
                     waiters: Vec::new(),
-                    next_ticket: 0,
+                    next_id: 0,
                 }),
                 changed: Notify::new(),
             }),
         };
-        tokio::spawn(give_out(desk.clone()));
-        desk
+        tokio::spawn(run(scheduler.clone()));
+        scheduler
     }
 
     /// Changes what the weight store allows. Turns that are held or asked for stay.
-    pub fn allow(&self, opts: Options) {
-        self.book().turns.set_options(with_timeout(opts));
+    pub fn set_options(&self, opts: Options) {
+        self.state().slots.set_options(with_lease_timeout(opts));
         self.inner.changed.notify_one();
     }
 
     /// Asks for a turn.
-    pub fn ask(&self, rank: TierRank, time_left: Duration) -> Turn {
+    pub fn request(&self, rank: TierRank, time_left: Duration) -> LoadSlotLease {
         let now = self.now();
         let (tx, granted) = oneshot::channel();
-        let mut book = self.book();
-        let ticket = Ticket(book.next_ticket);
-        book.next_ticket += 1;
-        book.turns.request(now, ticket, rank, now + time_left);
-        book.waiters.push(Waiter { ticket, tx });
-        drop(book);
+        let mut state = self.state();
+        let id = WaiterId(state.next_id);
+        state.next_id += 1;
+        state.slots.request(now, id, rank, now + time_left);
+        state.waiters.push(Waiter { id, tx });
+        drop(state);
         self.inner.changed.notify_one();
-        Turn {
-            desk: self.clone(),
-            ticket,
+        LoadSlotLease {
+            scheduler: self.clone(),
+            id,
             granted,
         }
     }
 
     /// Returns how many loads wait for a turn.
     pub fn waiting(&self) -> usize {
-        self.book().turns.waiting()
+        self.state().slots.waiting()
     }
 
     fn now(&self) -> Duration {
         self.inner.started.elapsed()
     }
 
-    fn book(&self) -> MutexGuard<'_, Book> {
+    fn state(&self) -> MutexGuard<'_, State> {
         self.inner
-            .book
+            .state
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
     }
 
     /// Gives out all turns that are due and returns when the next one may be.
-    fn round(&self) -> Option<Duration> {
+    fn grant_due(&self) -> Option<Duration> {
         let now = self.now();
-        let mut book = self.book();
-        while let Some(ticket) = book.turns.next(now) {
-            let at = book.waiters.iter().position(|w| w.ticket == ticket);
+        let mut state = self.state();
+        while let Some(id) = state.slots.next(now) {
+            let at = state.waiters.iter().position(|w| w.id == id);
             if let Some(at) = at {
-                let _ = book.waiters.swap_remove(at).tx.send(());
+                let _ = state.waiters.swap_remove(at).tx.send(());
             }
         }
-        book.turns.next_at()
+        state.slots.next_at()
     }
 }
 
-async fn give_out(desk: Desk) {
+async fn run(scheduler: LoadSlotScheduler) {
     /// Nothing waits: the next request wakes the task.
-    const NOTHING_DUE: Duration = Duration::from_secs(3600);
+    const IDLE_DELAY: Duration = Duration::from_secs(3600);
     loop {
-        let due = desk.round().map_or(desk.now() + NOTHING_DUE, |at| at);
+        let due = scheduler
+            .grant_due()
+            .map_or(scheduler.now() + IDLE_DELAY, |at| at);
         tokio::select! {
-            () = tokio::time::sleep_until(desk.inner.started + due) => {}
-            () = desk.inner.changed.notified() => {}
+            () = tokio::time::sleep_until(scheduler.inner.started + due) => {}
+            () = scheduler.inner.changed.notified() => {}
         }
     }
 }
 
-fn with_timeout(opts: Options) -> Options {
+fn with_lease_timeout(opts: Options) -> Options {
     Options {
-        holder_timeout: HOLDER_TIMEOUT,
+        holder_timeout: LEASE_TIMEOUT,
         ..opts
     }
 }
--- a/crates/stair-entry/src/control/mod.rs
+++ b/crates/stair-entry/src/control/mod.rs
@@ -10,7 +10,7 @@
 //! - [`feed`]: lists and watches the platform, or asks peers (`peers`) while it is down.
 //! - [`shards`]: conditional updates of the grants.
 //! - [`links`]: serves agents and other entries that open links.
-//! - [`turns`]: turns at the weight store.
+//! - [`load_slots`]: turns at the weight store.
 //! - [`thread`](mod@thread): runs all of these on one thread.
 
 pub mod actor;
@@ -20,6 +20,7 @@
 mod derive;
 pub mod feed;
 pub mod links;
+pub mod load_slots;
 mod moving;
 pub mod msg;
 mod peers;
@@ -28,7 +29,6 @@
 pub mod shards;
 pub mod state;
 pub mod thread;
-pub mod turns;
 mod writes;
 
 pub use thread::{
--- a/crates/stair-entry/src/control/report.rs
+++ b/crates/stair-entry/src/control/report.rs
@@ -69,7 +69,7 @@
             "agents": agents.collect::<Vec<_>>(),
             "releases_pending": self.releases.len(),
             "shards_needing_change": self.needed_since.iter().flatten().count(),
-            "loads_waiting_for_a_turn": self.args.desk.waiting(),
+            "loads_waiting_for_a_turn": self.args.scheduler.waiting(),
         })
     }
 }
--- a/crates/stair-entry/src/control/thread.rs
+++ b/crates/stair-entry/src/control/thread.rs
@@ -35,8 +35,8 @@
         },
         feed::Feed,
         links,
+        load_slots::LoadSlotScheduler,
         msg::Msg,
-        turns::Desk,
     },
     view::View,
 };
@@ -203,16 +203,16 @@
     let link = listener.addr()?;
     let dialer = Dialer::new(&opts.keys, opts.connect_timeout)?;
     let pool = Pool::new(dialer, Probing::REQUESTS);
-    let desk = Desk::start(stair_policy::load_order::Options::default());
+    let scheduler = LoadSlotScheduler::start(stair_policy::load_order::Options::default());
     let published = view.subscribe();
     let args = Arguments {
         name: opts.name,
         store: opts.store.clone(),
         view,
-        desk: desk.clone(),
+        scheduler: scheduler.clone(),
     };
     let (actor, _) = Actor::spawn(None, ControlActor::default(), args).await?;
-    tokio::spawn(links::serve(listener.clone(), actor.clone(), desk));
+    tokio::spawn(links::serve(listener.clone(), actor.clone(), scheduler));
     let feed = Feed::new(opts.store, actor.clone(), published);
     tokio::spawn(feed.run(pool, opts.peers));
     Ok(Started { actor, link })
--- a/crates/stair-entry/tests/control_desk.rs
+++ b/crates/stair-entry/tests/control_load_slots.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use stair_entry::control::turns::Desk;
+use stair_entry::control::load_slots::LoadSlotScheduler;
 use stair_policy::load_order::Options;
 use stair_types::TierRank;
 use tokio::time::{
@@ -12,23 +12,23 @@
 
 const SOON: Duration = Duration::from_millis(1);
 const LONG: Duration = Duration::from_secs(3600);
-const PATIENCE: Duration = Duration::from_secs(30);
+const TIME_LEFT: Duration = Duration::from_secs(30);
 
-fn desk(at_once: u16) -> Desk {
-    Desk::start(Options {
+fn scheduler(max_loads: u16) -> LoadSlotScheduler {
+    LoadSlotScheduler::start(Options {
         loads_per_second: 1_000.0,
-        full_speed_loads: at_once,
+        full_speed_loads: max_loads,
         ..Options::default()
     })
 }
 
 #[tokio::test(start_paused = true)]
 async fn better_tier_first() {
-    let desk = desk(1);
-    let mut first = desk.ask(TierRank(1), PATIENCE);
+    let scheduler = scheduler(1);
+    let mut first = scheduler.request(TierRank(1), TIME_LEFT);
     first.granted().await;
-    let mut low = desk.ask(TierRank(1), PATIENCE);
-    let mut high = desk.ask(TierRank(0), PATIENCE);
+    let mut low = scheduler.request(TierRank(1), TIME_LEFT);
+    let mut high = scheduler.request(TierRank(0), TIME_LEFT);
     assert!(timeout(SOON, high.granted()).await.is_err(), "one at once");
 
     drop(first);
@@ -37,37 +37,39 @@
         .await
         .expect("the better tier");
     assert!(timeout(SOON, low.granted()).await.is_err());
-    assert_eq!(desk.waiting(), 1);
+    assert_eq!(scheduler.waiting(), 1);
 }
 
 // The agent that holds a turn dies in the middle of its load, and its stream ends with its link.
 // The others would wait for ever if its turn stayed with it.
 #[tokio::test(start_paused = true)]
 async fn holder_dies() {
-    let desk = desk(1);
-    let mut held = desk.ask(TierRank(0), PATIENCE);
+    let scheduler = scheduler(1);
+    let mut held = scheduler.request(TierRank(0), TIME_LEFT);
     held.granted().await;
-    let waiting = desk.ask(TierRank(0), PATIENCE);
-    let mut next = desk.ask(TierRank(0), PATIENCE);
+    let waiting = scheduler.request(TierRank(0), TIME_LEFT);
+    let mut next = scheduler.request(TierRank(0), TIME_LEFT);
 
     drop(waiting);
     drop(held);
 
     timeout(LONG, next.granted()).await.expect("its turn comes");
-    assert_eq!(desk.waiting(), 0);
+    assert_eq!(scheduler.waiting(), 0);
 }
 
 #[tokio::test(start_paused = true)]
 async fn rate_kept() {
-    let desk = Desk::start(Options {
+    let scheduler = LoadSlotScheduler::start(Options {
         loads_per_second: 2.0,
         full_speed_loads: 100,
         ..Options::default()
     });
     let began = Instant::now();
-    let mut turns: Vec<_> = (0..9).map(|_| desk.ask(TierRank(0), PATIENCE)).collect();
-    for turn in &mut turns {
-        turn.granted().await;
+    let mut leases: Vec<_> = (0..9)
+        .map(|_| scheduler.request(TierRank(0), TIME_LEFT))
+        .collect();
+    for lease in &mut leases {
+        lease.granted().await;
     }
     let took = began.elapsed();
     assert!(took >= Duration::from_secs(3), "nine loads after {took:?}");
