--- a/crates/stair-entry/src/control/actor.rs
+++ b/crates/stair-entry/src/control/actor.rs
@@ -36,13 +36,13 @@
 use crate::{
     control::{
         agents::AgentStream,
-        crowding::Crowding,
         feed::{
             Listed,
             decode, //
         },
         load_slots::LoadSlotScheduler,
-        moving::Moving,
+        memory_pressure::MemoryPressure,
+        migration::Migrations,
         msg::Msg,
         state::{
             State,
@@ -85,9 +85,9 @@
     /// Shards with a write under way.
     pub(super) writing: Vec<bool>,
     /// Grants on their way to another target.
-    pub(super) moving: Moving,
+    pub(super) migrations: Migrations,
     /// What agents said about room.
-    pub(super) crowding: Crowding,
+    pub(super) memory_pressure: MemoryPressure,
     /// Given back by agents and not yet written.
     pub(super) releases: Vec<Release>,
     /// The fleet in which no record of an agent was left to delete.
@@ -132,8 +132,8 @@
             ranks: Vec::new(),
             needed_since: vec![None; shards],
             writing: vec![false; shards],
-            moving: Moving::default(),
-            crowding: Crowding::default(),
+            migrations: Migrations::default(),
+            memory_pressure: MemoryPressure::default(),
             releases: Vec::new(),
             swept: None,
         })
@@ -322,24 +322,26 @@
         self.publish();
         self.update_agents();
         self.write_releases(myself);
-        self.move_crowded(myself);
+        self.move_grants(myself);
         self.propose(myself);
     }
 
     fn publish(&mut self) {
         let now = Instant::now();
-        self.moving.update(&self.state, now);
+        self.migrations.update(&self.state, now);
         let view = View {
-            moving: self.moving.models(&self.state, now),
+            migrating: self.migrations.migrating_models(&self.state, now),
             ..self.state.view(&self.args.view.borrow())
         };
         self.args.view.send_replace(Arc::new(view));
     }
 
     /// Publishes again when a move has taken too long to be waited for.
-    fn publish_moves(&mut self) {
-        let moving = self.moving.models(&self.state, Instant::now());
-        let changed = self.args.view.borrow().moving != moving;
+    fn publish_migrations(&mut self) {
+        let migrating = self
+            .migrations
+            .migrating_models(&self.state, Instant::now());
+        let changed = self.args.view.borrow().migrating != migrating;
         if changed {
             self.publish();
         }
@@ -351,7 +353,7 @@
             self.propose(myself);
         }
         self.delete_gone();
-        self.publish_moves();
+        self.publish_migrations();
     }
 }
 
--- a/crates/stair-entry/src/control/agents.rs
+++ b/crates/stair-entry/src/control/agents.rs
@@ -91,7 +91,7 @@
             }
             AgentControl::Crowded { grants } => {
                 let target = agent.hello.target.clone();
-                self.crowding.note(target, grants, Instant::now())
+                self.memory_pressure.record(target, grants, Instant::now())
             }
             AgentControl::Leaving => {
                 let target = agent.hello.target.clone();
--- a/crates/stair-entry/src/control/derive.rs
+++ b/crates/stair-entry/src/control/derive.rs
@@ -66,7 +66,7 @@
             shard_versions: self.shards.iter().map(|s| s.version).collect(),
             holders: holders.collect(),
             // Since when a grant has been revoked is not part of the platform's objects.
-            moving: Vec::new(),
+            migrating: Vec::new(),
             providers: providers.collect(),
             catalogue: catalogue.clone(),
             targets,
--- a/crates/stair-entry/src/control/crowding.rs
+++ b/crates/stair-entry/src/control/memory_pressure.rs
@@ -32,27 +32,27 @@
 
 /// A target that said that it is crowded gets no moved grants for so long: what is in use there is
 /// likely in use still, and the grant would come straight back.
-const AVOID: Duration = Duration::from_secs(30);
+const AVOID_DURATION: Duration = Duration::from_secs(30);
 
 /// A model's grants move at most once in so long. When all targets are crowded there is no better
 /// place, and moving on would only cost loads and writes.
-const MODEL_PAUSE: Duration = Duration::from_secs(20);
+const MODEL_MOVE_INTERVAL: Duration = Duration::from_secs(20);
 
 /// Moves that one entry has under way at once. A move costs two writes to the platform, and a rush
 /// on a whole data centre must not use up its rate.
-const AT_ONCE: usize = 4;
+const MAX_MOVES_IN_PROGRESS: usize = 4;
 
 /// A move whose release has not been written by then is no longer counted as under way.
-const FORGET: Duration = Duration::from_secs(30);
+const MOVE_TIMEOUT: Duration = Duration::from_secs(30);
 
 #[derive(Debug)]
-struct CrowdedTarget {
+struct TargetUnderPressure {
     target: TargetName,
     at: Instant,
 }
 
 #[derive(Debug)]
-struct Wish {
+struct RequestedMove {
     shard: ShardId,
     grant: GrantId,
 }
@@ -66,15 +66,15 @@
 
 /// What agents said about room, and the moves that follow from it. Soft state.
 #[derive(Debug, Default)]
-pub(super) struct Crowding {
-    targets: Vec<CrowdedTarget>,
-    wishes: Vec<Wish>,
+pub(super) struct MemoryPressure {
+    targets: Vec<TargetUnderPressure>,
+    requested: Vec<RequestedMove>,
     moves: Vec<Move>,
 }
 
-impl Crowding {
+impl MemoryPressure {
     /// Takes over what an agent said. Returns whether there is something to look at.
-    pub(super) fn note(
+    pub(super) fn record(
         &mut self,
         target: TargetName,
         grants: Vec<(ShardId, GrantId)>,
@@ -84,25 +84,25 @@
         if grants.is_empty() {
             return false;
         }
-        self.targets.push(CrowdedTarget { target, at: now });
-        let wishes = grants.into_iter();
-        self.wishes
-            .extend(wishes.map(|(shard, grant)| Wish { shard, grant }));
+        self.targets.push(TargetUnderPressure { target, at: now });
+        let requested = grants.into_iter();
+        self.requested
+            .extend(requested.map(|(shard, grant)| RequestedMove { shard, grant }));
         true
     }
 
     /// Returns the targets that moved grants should not go to.
-    pub(super) fn avoid(&self) -> Vec<TargetName> {
+    pub(super) fn targets_to_avoid(&self) -> Vec<TargetName> {
         self.targets.iter().map(|c| c.target.clone()).collect()
     }
 
-    fn forget_old(&mut self, now: Instant) {
-        self.targets.retain(|c| now - c.at < AVOID);
-        self.moves.retain(|m| now - m.at < FORGET);
+    fn expire(&mut self, now: Instant) {
+        self.targets.retain(|c| now - c.at < AVOID_DURATION);
+        self.moves.retain(|m| now - m.at < MOVE_TIMEOUT);
     }
 
     fn may_move(&self, model: &ModelName, now: Instant) -> bool {
-        let recent = |m: &Move| m.model == *model && now - m.at < MODEL_PAUSE;
+        let recent = |m: &Move| m.model == *model && now - m.at < MODEL_MOVE_INTERVAL;
         !self.moves.iter().any(recent)
     }
 }
@@ -112,40 +112,56 @@
     S: ObjectStore,
 {
     /// Revokes the grants that agents find no room for, as far as there is a better place.
-    pub(super) fn move_crowded(&mut self, myself: &ActorRef<Msg>) {
+    pub(super) fn move_grants(&mut self, myself: &ActorRef<Msg>) {
         let now = Instant::now();
-        self.crowding.forget_old(now);
-        if self.crowding.wishes.is_empty() || !self.state.confirmed {
+        self.memory_pressure.expire(now);
+        if self.memory_pressure.requested.is_empty() || !self.state.confirmed {
             return;
         }
         let mut round = Round::new(&self.state);
-        for wish in std::mem::take(&mut self.crowding.wishes) {
-            if let Some(model) = self.model_to_move(&mut round, &wish, now) {
+        for requested_move in std::mem::take(&mut self.memory_pressure.requested) {
+            if let Some(model) = self.model_to_move(&mut round, &requested_move, now) {
                 info!(
                     Part::Grants,
                     "A grant of {model} moves to a target with room."
                 );
-                self.crowding.moves.push(Move {
+                self.memory_pressure.moves.push(Move {
                     model,
-                    grant: wish.grant,
+                    grant: requested_move.grant,
                     at: now,
                 });
                 let store = self.args.store.clone();
-                tokio::spawn(revoke(store, myself.clone(), wish.shard, wish.grant));
+                tokio::spawn(revoke(
+                    store,
+                    myself.clone(),
+                    requested_move.shard,
+                    requested_move.grant,
+                ));
             }
         }
     }
 
-    fn model_to_move(&self, round: &mut Round, wish: &Wish, now: Instant) -> Option<ModelName> {
-        let shard = self.state.shards.get(usize::from(wish.shard.0))?;
+    fn model_to_move(
+        &self,
+        round: &mut Round,
+        requested_move: &RequestedMove,
+        now: Instant,
+    ) -> Option<ModelName> {
+        let shard = self.state.shards.get(usize::from(requested_move.shard.0))?;
         let shard = shard.value.as_ref()?;
-        let grant = shard.grants.iter().find(|g| g.id == wish.grant)?;
+        let grant = shard.grants.iter().find(|g| g.id == requested_move.grant)?;
         let model = self.state.config.catalogue.model(grant.model.as_str())?;
-        let under_way = |m: &&Move| shard.grants.iter().any(|g| g.id == m.grant);
-        let free = self.crowding.moves.iter().filter(under_way).count() < AT_ONCE;
-        let allowed = !grant.revoking && free && self.crowding.may_move(&model.name, now);
-        let avoid = self.crowding.avoid();
-        let placed = allowed && round.has_place(shard, model, wish.grant, &avoid);
+        let in_progress = |m: &&Move| shard.grants.iter().any(|g| g.id == m.grant);
+        let free = self
+            .memory_pressure
+            .moves
+            .iter()
+            .filter(in_progress)
+            .count()
+            < MAX_MOVES_IN_PROGRESS;
+        let allowed = !grant.revoking && free && self.memory_pressure.may_move(&model.name, now);
+        let avoid = self.memory_pressure.targets_to_avoid();
+        let placed = allowed && round.has_place(shard, model, requested_move.grant, &avoid);
         placed.then(|| model.name.clone())
     }
 }
--- a/crates/stair-entry/src/control/moving.rs
+++ b/crates/stair-entry/src/control/migration.rs
@@ -17,7 +17,7 @@
 
 /// A holder that lives gives its grant back as soon as its runs have ended. One that has not by
 /// then runs something long or is gone.
-const YOUNG: Duration = Duration::from_secs(5);
+const MIGRATION_WINDOW: Duration = Duration::from_secs(5);
 
 #[derive(Debug)]
 struct Revoke {
@@ -28,11 +28,11 @@
 
 /// The revokes that this entry has seen, and since when.
 #[derive(Debug, Default)]
-pub(super) struct Moving {
+pub(super) struct Migrations {
     revokes: Vec<Revoke>,
 }
 
-impl Moving {
+impl Migrations {
     /// Takes over which grants are being revoked now.
     pub(super) fn update(&mut self, state: &State, now: Instant) {
         let mut old = std::mem::take(&mut self.revokes);
@@ -52,7 +52,7 @@
     }
 
     /// Tells for each model of the catalogue whether a grant of it moves.
-    pub(super) fn models(&self, state: &State, now: Instant) -> Vec<bool> {
+    pub(super) fn migrating_models(&self, state: &State, now: Instant) -> Vec<bool> {
         let models = state.config.catalogue.models.iter();
         models
             .map(|m| {
@@ -60,14 +60,14 @@
                 let grants = state
                     .shard(&m.name)
                     .map_or(&[][..], |s| s.of_model(&m.name));
-                grants.iter().any(|g| self.is_young(shard, g.id, now))
+                grants.iter().any(|g| self.is_recent(shard, g.id, now))
             })
             .collect()
     }
 
-    fn is_young(&self, shard: ShardId, grant: GrantId, now: Instant) -> bool {
+    fn is_recent(&self, shard: ShardId, grant: GrantId, now: Instant) -> bool {
         let same = |r: &&Revoke| r.shard == shard && r.grant == grant;
         let revoke = self.revokes.iter().find(same);
-        revoke.is_some_and(|r| now - r.since < YOUNG)
+        revoke.is_some_and(|r| now - r.since < MIGRATION_WINDOW)
     }
 }
--- a/crates/stair-entry/src/control/mod.rs
+++ b/crates/stair-entry/src/control/mod.rs
@@ -5,8 +5,8 @@
 //! - [`propose`]: which grants should change, as a pure function of the state.
 //! - [`assignment`]: what one agent may hold, derived from the state.
 //! - [`msg`]: what control handles.
-//! - [`actor`]: the actor that owns the state and publishes the view; `agents`, `crowding`,
-//!   `moving`, `writes` and `report` are parts of it.
+//! - [`actor`]: the actor that owns the state and publishes the view; `agents`, `memory_pressure`,
+//!   `migration`, `writes` and `report` are parts of it.
 //! - [`feed`]: lists and watches the platform, or asks peers (`peers`) while it is down.
 //! - [`shards`]: conditional updates of the grants.
 //! - [`links`]: serves agents and other entries that open links.
@@ -16,12 +16,12 @@
 pub mod actor;
 mod agents;
 pub mod assignment;
-mod crowding;
 mod derive;
 pub mod feed;
 pub mod links;
 pub mod load_slots;
-mod moving;
+mod memory_pressure;
+mod migration;
 pub mod msg;
 mod peers;
 pub mod propose;
--- a/crates/stair-entry/src/control/writes.rs
+++ b/crates/stair-entry/src/control/writes.rs
@@ -68,7 +68,7 @@
                 models: self.models_of(shard, &grants),
                 grants,
                 round: Round::new(&self.state),
-                avoid: self.crowding.avoid(),
+                avoid: self.memory_pressure.targets_to_avoid(),
             };
             tokio::spawn(write_release(self.args.store.clone(), myself.clone(), job));
         }
--- a/crates/stair-entry/src/traffic/choose.rs
+++ b/crates/stair-entry/src/traffic/choose.rs
@@ -94,13 +94,13 @@
 }
 
 /// Tells whether a grant of the model is on its way to another target.
-pub(super) fn is_moving(view: &View, work: &Work) -> bool {
+pub(super) fn is_migrating(view: &View, work: &Work) -> bool {
     let Work::Model { model, .. } = work else {
         return false;
     };
     let models = &view.catalogue.models;
     let at = models.binary_search_by(|m| m.name.cmp(model));
-    at.is_ok_and(|i| view.is_moving(i))
+    at.is_ok_and(|i| view.is_migrating(i))
 }
 
 /// Returns `None` for a target that is leaving, by the view or by its own word.
--- a/crates/stair-entry/src/traffic/dispatch.rs
+++ b/crates/stair-entry/src/traffic/dispatch.rs
@@ -108,11 +108,11 @@
     let is_behind = last.is_some_and(announces);
     let began = Instant::now();
     loop {
-        let is_moving = choose::is_moving(&view.borrow_and_update(), &req.work);
+        let is_migrating = choose::is_migrating(&view.borrow_and_update(), &req.work);
         if let Some(target) = choose::next(cx, req, tried) {
             return Some(target);
         }
-        let wait = match (is_moving, is_behind) {
+        let wait = match (is_migrating, is_behind) {
             (true, _) => MOVE_TIME,
             (false, true) => BEHIND_TIME,
             (false, false) => return None,
--- a/crates/stair-entry/src/view.rs
+++ b/crates/stair-entry/src/view.rs
@@ -39,7 +39,8 @@
     pub holders: Vec<Vec<TargetKey>>,
     /// For each model of the catalogue, whether a grant of it is being revoked and will be granted
     /// elsewhere in a moment.
-    pub moving: Vec<bool>,
+    #[serde(rename = "moving")]
+    pub migrating: Vec<bool>,
     /// For each shard of grants, the platform's version that the holders come from.
     pub shard_versions: Vec<u64>,
     /// For each service of the catalogue, its targets.
@@ -73,8 +74,8 @@
     }
 
     /// Tells whether a model's grant is on its way to another target, by the model's index.
-    pub fn is_moving(&self, model: usize) -> bool {
-        self.moving.get(model).copied().unwrap_or(false)
+    pub fn is_migrating(&self, model: usize) -> bool {
+        self.migrating.get(model).copied().unwrap_or(false)
     }
 
     /// Returns the targets that may serve a model; none when the model is not declared.
--- a/crates/stair-entry/tests/support/rig.rs
+++ b/crates/stair-entry/tests/support/rig.rs
@@ -237,7 +237,7 @@
     let all: Vec<TargetKey> = (0..targets.len() as u32).map(TargetKey).collect();
     View {
         entries: 1,
-        moving: Vec::new(),
+        migrating: Vec::new(),
         fleet: 0,
         shard_versions: Vec::new(),
         config: ConfigVersion(1),
