--- a/crates/stair-dev/examples/slopes/size.rs
+++ b/crates/stair-dev/examples/slopes/size.rs
@@ -104,19 +104,19 @@
         revision += 1;
         revision
     };
-    state.raise_config(config(&catalogue(size)?, ConfigVersion(1), next())?);
+    state.update_config(config(&catalogue(size)?, ConfigVersion(1), next())?);
     for i in 0..size.entries {
         let name = format!("entry-{i:05}");
         let role = VmRole::Entry {
             name: EntryName::try_from(name.as_str())?,
             link: address(i),
         };
-        state.raise_vm(name.as_str().into(), next(), Some(vm(role, i)?));
+        state.update_vm(name.as_str().into(), next(), Some(vm(role, i)?));
     }
     for i in 0..size.targets {
         let name = TargetName::try_from(format!("target-{i:06}").as_str())?;
         let role = VmRole::Target { name: name.clone() };
-        state.raise_vm(name.as_str().into(), next(), Some(vm(role, i)?));
+        state.update_vm(name.as_str().into(), next(), Some(vm(role, i)?));
         let record = IncarnationRecord {
             token: FencingToken(1),
             link: address(i),
@@ -125,17 +125,17 @@
                 memory_mib: MEMORY_MIB,
             },
         };
-        state.raise_incarnation(name, next(), Some(record));
+        state.update_incarnation(name, next(), Some(record));
     }
     state.confirmed = true;
     let mut round = Round::new(&state);
     for shard in 0..state.shards.len() {
         let shard = ShardId(shard as u16);
         if let Some(made) = round.propose(&state, shard) {
-            state.raise_shard(shard, next(), Some(made));
+            state.update_shard(shard, next(), Some(made));
         }
     }
-    state.raise_seen(next());
+    state.advance_revision(next());
     Ok(state)
 }
 
--- a/crates/stair-entry/src/control/actor.rs
+++ b/crates/stair-entry/src/control/actor.rs
@@ -91,7 +91,7 @@
     /// Given back by agents and not yet written.
     pub(super) releases: Vec<Release>,
     /// The fleet in which no record of an agent was left to delete.
-    pub(super) swept: Option<u64>,
+    pub(super) swept_fleet: Option<u64>,
 }
 
 /// The actor; see the module.
@@ -135,7 +135,7 @@
             migrations: Migrations::default(),
             memory_pressure: MemoryPressure::default(),
             releases: Vec::new(),
-            swept: None,
+            swept_fleet: None,
         })
     }
 
@@ -159,8 +159,8 @@
             Msg::Listed(listed) => self.take_list(*listed),
             Msg::Changes(events) => self.take_changes(events),
             // An own write comes back and changes nothing, but more may follow from it.
-            Msg::Seen(revision) => self.state.raise_seen(revision) && self.unproposed,
-            Msg::Config(config) => self.state.raise_config(*config),
+            Msg::Seen(revision) => self.state.advance_revision(revision) && self.unproposed,
+            Msg::Config(config) => self.state.update_config(*config),
             Msg::Confirmed => {
                 self.state.confirmed = true;
                 true
@@ -215,13 +215,13 @@
         names.sort();
         let mut changed = self.take_changes(listed.page.events);
         changed |= match listed.kind {
-            Kind::Vm => self.state.forget_unlisted_vms(&names, revision),
+            Kind::Vm => self.state.remove_unlisted_vms(&names, revision),
             Kind::Incarnation => {
                 let targets = names
                     .into_iter()
                     .filter_map(|n| TargetName::try_from(n).ok());
                 let targets: Vec<TargetName> = targets.collect();
-                self.state.forget_unlisted_incarnations(&targets, revision)
+                self.state.remove_unlisted_incarnations(&targets, revision)
             }
             _ => false,
         };
@@ -257,16 +257,16 @@
                 let shard = shard_id(&object.name)?;
                 Ok(self
                     .state
-                    .raise_shard(shard, version, Some(decode(object)?)))
+                    .update_shard(shard, version, Some(decode(object)?)))
             }
             Kind::Incarnation => {
                 let target = target_name(&object.name)?;
                 let record = Some(decode(object)?);
-                Ok(self.state.raise_incarnation(target, version, record))
+                Ok(self.state.update_incarnation(target, version, record))
             }
             Kind::Vm => {
                 let vm = Some(decode(object)?);
-                Ok(self.state.raise_vm(object.name.clone(), version, vm))
+                Ok(self.state.update_vm(object.name.clone(), version, vm))
             }
             Kind::Manifest | Kind::Chunk | Kind::Claims => Ok(false),
         }
@@ -274,9 +274,9 @@
 
     fn take_deleted(&mut self, kind: Kind, name: Box<str>, version: u64) -> bool {
         match kind {
-            Kind::Vm => self.state.raise_vm(name, version, None),
+            Kind::Vm => self.state.update_vm(name, version, None),
             Kind::Incarnation => match TargetName::try_from(name) {
-                Ok(target) => self.state.raise_incarnation(target, version, None),
+                Ok(target) => self.state.update_incarnation(target, version, None),
                 Err(_) => false,
             },
             // Nobody deletes shards of grants, and a manifest that vanished must not end what is
@@ -295,7 +295,7 @@
             Ok(Some(written)) => {
                 self.needed_since[usize::from(shard.0)] = None;
                 self.state
-                    .raise_shard(shard, written.version, written.value)
+                    .update_shard(shard, written.version, written.value)
             }
             Ok(None) => false,
             // Another entry was faster; the watch brings what it wrote.
@@ -352,7 +352,7 @@
         if self.unproposed {
             self.propose(myself);
         }
-        self.delete_gone();
+        self.delete_stale_records();
         self.publish_migrations();
     }
 }
--- a/crates/stair-entry/src/control/agents.rs
+++ b/crates/stair-entry/src/control/agents.rs
@@ -97,7 +97,7 @@
                 let target = agent.hello.target.clone();
                 let token = agent.hello.incarnation;
                 info!(Part::Members, "Target {target} says that it is leaving.");
-                self.state.note_leaving(target, token)
+                self.state.record_leaving(target, token)
             }
         }
     }
--- a/crates/stair-entry/src/control/derive.rs
+++ b/crates/stair-entry/src/control/derive.rs
@@ -29,7 +29,7 @@
     /// Derives what traffic needs, with the targets of the view before if none has changed since:
     /// most changes are of the configuration or the grants, and 12,000 targets are most of a view.
     pub fn view(&self, before: &View) -> View {
-        let same_targets = before.fleet == self.fleet();
+        let same_targets = before.fleet_version == self.fleet_version();
         let targets = match same_targets {
             true => before.targets.clone(),
             false => Arc::new(self.targets()),
@@ -62,7 +62,7 @@
             config: version_of(&self.config),
             confirmed: self.confirmed,
             entries: self.entries().len() as u32,
-            fleet: self.fleet(),
+            fleet_version: self.fleet_version(),
             shard_versions: self.shards.iter().map(|s| s.version).collect(),
             holders: holders.collect(),
             // Since when a grant has been revoked is not part of the platform's objects.
@@ -84,7 +84,7 @@
                 let record = agent.object.value.as_ref()?;
                 let token = record.token;
                 let leaving =
-                    self.is_marked_leaving(&agent.name) || self.says_leaving(&agent.name, token);
+                    self.is_marked_leaving(&agent.name) || self.reports_leaving(&agent.name, token);
                 Some(TargetView {
                     name: agent.name.clone(),
                     link: record.link,
--- a/crates/stair-entry/src/control/propose.rs
+++ b/crates/stair-entry/src/control/propose.rs
@@ -58,7 +58,8 @@
                 data_centre,
                 memory_mib,
                 granted_mib: 0,
-                live: state.is_live(&agent.name) && !state.says_leaving(&agent.name, record.token),
+                live: state.is_live(&agent.name)
+                    && !state.reports_leaving(&agent.name, record.token),
             });
             names.push(agent.name.clone());
         }
@@ -246,7 +247,7 @@
             TargetKind::Engine { memory_mib } => memory <= memory_mib,
             TargetKind::Service { .. } => false,
         };
-        fits && state.is_live(target) && !state.says_leaving(target, record.token)
+        fits && state.is_live(target) && !state.reports_leaving(target, record.token)
     })
 }
 
--- a/crates/stair-entry/src/control/state.rs
+++ b/crates/stair-entry/src/control/state.rs
@@ -62,7 +62,7 @@
 
 impl<T> Versioned<T> {
     /// Takes over a later value. Returns whether it was later.
-    pub fn raise(&mut self, version: u64, value: Option<T>) -> bool {
+    pub fn replace_if_newer(&mut self, version: u64, value: Option<T>) -> bool {
         if version <= self.version {
             return false;
         }
@@ -110,18 +110,21 @@
     pub confirmed: bool,
     /// The platform's revision up to which everything is known. Single objects may be known later:
     /// a shard that this entry read or wrote by itself, or a kind that was listed before others.
-    pub seen: u64,
+    #[serde(rename = "seen")]
+    pub revision: u64,
     /// The latest deletion that was forgotten. An unknown object that is not later is old.
-    forgotten: u64,
+    #[serde(rename = "forgotten")]
+    pruned_revision: u64,
     /// Rises with each change that concerns targets.
-    fleet: u64,
+    #[serde(rename = "fleet")]
+    fleet_version: u64,
     /// The live entries, sorted by name.
     entries: Vec<EntryAddress>,
 }
 
 /// Deletions of VMs and agents' records that are remembered. Each costs some hundred bytes, and
 /// 2,400 VMs are replaced a day.
-const DELETIONS: usize = 4_096;
+const MAX_KEPT_DELETIONS: usize = 4_096;
 
 /// An agent that said that it is leaving.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
@@ -141,9 +144,9 @@
             vms: Vec::new(),
             leaving: Vec::new(),
             confirmed: false,
-            seen: 0,
-            forgotten: 0,
-            fleet: 0,
+            revision: 0,
+            pruned_revision: 0,
+            fleet_version: 0,
             entries: Vec::new(),
         }
     }
@@ -151,11 +154,11 @@
 
 impl State {
     /// Notes that everything is known up to a revision. Returns whether that is new.
-    pub fn raise_seen(&mut self, revision: u64) -> bool {
-        let later = revision > self.seen;
-        self.seen = revision.max(self.seen);
+    pub fn advance_revision(&mut self, revision: u64) -> bool {
+        let later = revision > self.revision;
+        self.revision = revision.max(self.revision);
         if later {
-            self.forget_deleted();
+            self.prune_deletions();
         }
         later
     }
@@ -165,15 +168,15 @@
     /// A shard that is known later than the list of VMs may name a holder whose VM is not in that
     /// list yet, and one that is known later than the declarations may have been changed for
     /// declarations that this entry has not heard of.
-    pub fn has_seen(&self, shard: ShardId) -> bool {
-        self.shards[usize::from(shard.0)].version <= self.seen
+    pub fn is_complete_for(&self, shard: ShardId) -> bool {
+        self.shards[usize::from(shard.0)].version <= self.revision
     }
 
     /// Takes over a configuration if it is later. Returns whether it was.
     ///
     /// The configuration's own version decides and not only the platform's revision, since a peer
     /// may have answered with an old one.
-    pub fn raise_config(&mut self, config: Config) -> bool {
+    pub fn update_config(&mut self, config: Config) -> bool {
         let later = config.manifest.version > self.config.manifest.version
             && version_of(&config) > version_of(&self.config);
         if later {
@@ -183,61 +186,66 @@
     }
 
     /// Takes over a shard if it is later. Returns whether it was.
-    pub fn raise_shard(&mut self, shard: ShardId, version: u64, value: Option<GrantShard>) -> bool {
+    pub fn update_shard(
+        &mut self,
+        shard: ShardId,
+        version: u64,
+        value: Option<GrantShard>,
+    ) -> bool {
         match self.shards.get_mut(usize::from(shard.0)) {
-            Some(held) => held.raise(version, value),
+            Some(held) => held.replace_if_newer(version, value),
             None => false,
         }
     }
 
     /// Takes over an agent's record if it is later. Returns whether it was.
-    pub fn raise_incarnation(
+    pub fn update_incarnation(
         &mut self,
         name: TargetName,
         version: u64,
         value: Option<IncarnationRecord>,
     ) -> bool {
-        if self.is_forgotten(version) && find_at(&self.incarnations, &name).is_none() {
+        if self.is_pruned(version) && find_at(&self.incarnations, &name).is_none() {
             return false;
         }
-        let raised = raise(&mut self.incarnations, name, version, value);
-        self.fleet += u64::from(raised);
-        self.forget_leaving();
-        raised
+        let changed = update_named(&mut self.incarnations, name, version, value);
+        self.fleet_version += u64::from(changed);
+        self.prune_leaving();
+        changed
     }
 
     /// Takes over a VM's line if it is later. Returns whether it was.
-    pub fn raise_vm(&mut self, name: Box<str>, version: u64, value: Option<Vm>) -> bool {
+    pub fn update_vm(&mut self, name: Box<str>, version: u64, value: Option<Vm>) -> bool {
         let held = find_at(&self.vms, &name);
-        if self.is_forgotten(version) && held.is_none() {
+        if self.is_pruned(version) && held.is_none() {
             return false;
         }
         let held = held.and_then(|i| self.vms[i].object.value.as_ref());
         let of_entry = [held, value.as_ref()].into_iter().flatten().any(is_entry);
-        let raised = raise(&mut self.vms, name, version, value);
-        self.note_vms(raised, of_entry);
-        raised
+        let changed = update_named(&mut self.vms, name, version, value);
+        self.record_vm_change(changed, of_entry);
+        changed
     }
 
     /// Deletions are kept so that a late answer does not bring a deleted object back, and so that
     /// a VM that was taken away is told from one that the lagging list does not show yet. Without
     /// end they would fill the memory of a process that lives for months.
-    fn forget_deleted(&mut self) {
+    fn prune_deletions(&mut self) {
         let deleted = self.vms.iter().filter(|n| n.object.value.is_none()).count()
             + self
                 .incarnations
                 .iter()
                 .filter(|n| n.object.value.is_none())
                 .count();
-        if deleted <= DELETIONS {
+        if deleted <= MAX_KEPT_DELETIONS {
             return;
         }
-        let mut forgotten = self.forgotten;
-        let seen = self.seen;
+        let mut pruned_revision = self.pruned_revision;
+        let complete_to = self.revision;
         let mut stays = |version: u64, exists: bool| {
-            let stays = exists || version > seen;
+            let stays = exists || version > complete_to;
             if !stays {
-                forgotten = forgotten.max(version);
+                pruned_revision = pruned_revision.max(version);
             }
             stays
         };
@@ -250,25 +258,25 @@
         });
         self.leaving
             .retain(|l| agents.binary_search_by(|a| a.name.cmp(&l.target)).is_ok());
-        self.forgotten = forgotten;
+        self.pruned_revision = pruned_revision;
     }
 
-    fn is_forgotten(&self, version: u64) -> bool {
-        version <= self.forgotten
+    fn is_pruned(&self, version: u64) -> bool {
+        version <= self.pruned_revision
     }
 
-    fn note_vms(&mut self, changed: bool, of_entries: bool) {
-        self.fleet += u64::from(changed);
+    fn record_vm_change(&mut self, changed: bool, of_entries: bool) {
+        self.fleet_version += u64::from(changed);
         if changed && of_entries {
             self.entries = list_entries(&self.vms);
         }
     }
 
     /// Notes that an agent said that it is leaving.
-    pub fn note_leaving(&mut self, target: TargetName, token: FencingToken) -> bool {
+    pub fn record_leaving(&mut self, target: TargetName, token: FencingToken) -> bool {
         let at = self.leaving.binary_search_by(|l| l.target.cmp(&target));
         if at.is_err() || at.is_ok_and(|i| self.leaving[i].token < token) {
-            self.fleet += 1;
+            self.fleet_version += 1;
         }
         match at {
             Ok(i) if self.leaving[i].token >= token => false,
@@ -311,7 +319,7 @@
     }
 
     /// Tells whether a target's present agent said that it is leaving.
-    pub fn says_leaving(&self, target: &TargetName, token: FencingToken) -> bool {
+    pub fn reports_leaving(&self, target: &TargetName, token: FencingToken) -> bool {
         let at = self.leaving.binary_search_by(|l| l.target.cmp(target));
         at.is_ok_and(|i| self.leaving[i].token >= token)
     }
@@ -348,29 +356,29 @@
     }
 
     /// Counts the changes that concern targets.
-    pub fn fleet(&self) -> u64 {
-        self.fleet
+    pub fn fleet_version(&self) -> u64 {
+        self.fleet_version
     }
 
     /// Takes over a complete list of VMs: what it lacks is gone. `listed` is sorted.
-    pub fn forget_unlisted_vms(&mut self, listed: &[Box<str>], revision: u64) -> bool {
-        let changed = forget_unlisted(&mut self.vms, listed, revision);
-        self.note_vms(changed, true);
+    pub fn remove_unlisted_vms(&mut self, listed: &[Box<str>], revision: u64) -> bool {
+        let changed = remove_unlisted(&mut self.vms, listed, revision);
+        self.record_vm_change(changed, true);
         changed
     }
 
     /// Takes over a complete list of agents' records: what it lacks is gone. `listed` is sorted.
-    pub fn forget_unlisted_incarnations(&mut self, listed: &[TargetName], revision: u64) -> bool {
-        let changed = forget_unlisted(&mut self.incarnations, listed, revision);
-        self.fleet += u64::from(changed);
-        self.forget_leaving();
+    pub fn remove_unlisted_incarnations(&mut self, listed: &[TargetName], revision: u64) -> bool {
+        let changed = remove_unlisted(&mut self.incarnations, listed, revision);
+        self.fleet_version += u64::from(changed);
+        self.prune_leaving();
         changed
     }
 
     /// Forgets that agents said that they are leaving once their records are deleted. The tokens
     /// of a new VM of the same name start again from one, and it would be taken for the one that
     /// left: it would get no grant and no request for good.
-    fn forget_leaving(&mut self) {
+    fn prune_leaving(&mut self) {
         let records = &self.incarnations;
         self.leaving.retain(|l| {
             let at = records.binary_search_by(|r| r.name.cmp(&l.target));
@@ -438,12 +446,12 @@
     all.binary_search_by(|n| n.name.cmp(name)).ok()
 }
 
-fn raise<N, T>(all: &mut Vec<Named<N, T>>, name: N, version: u64, value: Option<T>) -> bool
+fn update_named<N, T>(all: &mut Vec<Named<N, T>>, name: N, version: u64, value: Option<T>) -> bool
 where
     N: Ord,
 {
     match all.binary_search_by(|n| n.name.cmp(&name)) {
-        Ok(i) => all[i].object.raise(version, value),
+        Ok(i) => all[i].object.replace_if_newer(version, value),
         Err(at) => {
             let object = Versioned { version, value };
             all.insert(at, Named { name, object });
@@ -452,14 +460,14 @@
     }
 }
 
-fn forget_unlisted<N, T>(all: &mut [Named<N, T>], listed: &[N], revision: u64) -> bool
+fn remove_unlisted<N, T>(all: &mut [Named<N, T>], listed: &[N], revision: u64) -> bool
 where
     N: Ord,
 {
     let mut changed = false;
     for held in all.iter_mut().filter(|n| n.object.value.is_some()) {
         if listed.binary_search(&held.name).is_err() {
-            changed |= held.object.raise(revision, None);
+            changed |= held.object.replace_if_newer(revision, None);
         }
     }
     changed
--- a/crates/stair-entry/src/control/writes.rs
+++ b/crates/stair-entry/src/control/writes.rs
@@ -115,7 +115,7 @@
             // The grant of a VM that is not listed yet would look like one of a VM that is gone:
             // it would be removed, and the model be loaded twice. The watch is a moment behind, or
             // its connection is silent, and another entry acts.
-            if !self.state.has_seen(shard) {
+            if !self.state.is_complete_for(shard) {
                 self.unproposed = true;
                 continue;
             }
@@ -143,13 +143,13 @@
 
     /// Records of agents whose VM was taken away would pile up: 2,400 VMs are replaced a day. A
     /// record written after the VM was taken away belongs to a new VM of the same name and stays.
-    pub(super) fn delete_gone(&mut self) {
-        let fleet = self.state.fleet();
-        if !self.state.confirmed || self.swept == Some(fleet) {
+    pub(super) fn delete_stale_records(&mut self) {
+        let fleet_version = self.state.fleet_version();
+        if !self.state.confirmed || self.swept_fleet == Some(fleet_version) {
             return;
         }
-        self.swept = Some(fleet);
-        let gone = self.state.incarnations.iter().filter(|agent| {
+        self.swept_fleet = Some(fleet_version);
+        let stale = self.state.incarnations.iter().filter(|agent| {
             let name = agent.name.as_str();
             let at = self.state.vms.binary_search_by(|vm| (*vm.name).cmp(name));
             let vm = at.ok().map(|i| &self.state.vms[i].object);
@@ -157,8 +157,8 @@
                 && vm.is_some_and(|vm| vm.value.is_none() && vm.version > agent.object.version)
                 && self.state.rank(&self.args.name, name) == 0
         });
-        for agent in gone.take(DELETED_A_TICK) {
-            self.swept = None;
+        for agent in stale.take(DELETED_A_TICK) {
+            self.swept_fleet = None;
             let store = self.args.store.clone();
             let name = agent.name.clone();
             let version = agent.object.version;
--- a/crates/stair-entry/src/view.rs
+++ b/crates/stair-entry/src/view.rs
@@ -30,7 +30,8 @@
     /// Entries that the platform lists as live.
     pub entries: u32,
     /// Tells apart what the targets were made from.
-    pub fleet: u64,
+    #[serde(rename = "fleet")]
+    pub fleet_version: u64,
     /// The declarations in force.
     pub catalogue: Arc<Catalogue>,
     /// The arena that [`TargetKey`] points into, of this view only. Sorted by name.
--- a/crates/stair-entry/tests/control/fleet.rs
+++ b/crates/stair-entry/tests/control/fleet.rs
@@ -94,14 +94,14 @@
 /// Returns a confirmed state that is complete up to revision 1,000.
 pub fn state(targets: u32, models: u32, replicas: u16) -> State {
     let mut state = State::default();
-    state.raise_config(config(1, 1, models, replicas));
-    state.raise_vm("entry-0".into(), 2, Some(entry_vm(0)));
+    state.update_config(config(1, 1, models, replicas));
+    state.update_vm("entry-0".into(), 2, Some(entry_vm(0)));
     for i in 0..targets {
         let name = target(i).as_str().into();
-        state.raise_vm(name, 3, Some(target_vm(i, VmState::Live)));
-        state.raise_incarnation(target(i), 4, Some(record(1)));
+        state.update_vm(name, 3, Some(target_vm(i, VmState::Live)));
+        state.update_incarnation(target(i), 4, Some(record(1)));
     }
-    state.raise_seen(1_000);
+    state.advance_revision(1_000);
     state.confirmed = true;
     state
 }
--- a/crates/stair-entry/tests/control_propose.rs
+++ b/crates/stair-entry/tests/control_propose.rs
@@ -39,11 +39,14 @@
     let mut round = Round::new(state);
     let mut written = 0;
     let judged = (0..SHARDS).map(ShardId);
-    for shard in judged.filter(|s| state.has_seen(*s)).collect::<Vec<_>>() {
+    for shard in judged
+        .filter(|s| state.is_complete_for(*s))
+        .collect::<Vec<_>>()
+    {
         let settled = is_settled(state, shard);
         if let Some(next) = round.propose(state, shard) {
             assert!(!settled, "a shard that needs a change was taken for right");
-            state.raise_shard(shard, version, Some(next));
+            state.update_shard(shard, version, Some(next));
             written += 1;
         }
     }
@@ -90,7 +93,7 @@
     let before = of_target(&state, &name).len();
     assert!(before > 0);
     let leaving = Some(target_vm(4, VmState::Leaving));
-    state.raise_vm(name.as_str().into(), 11, leaving);
+    state.update_vm(name.as_str().into(), 11, leaving);
 
     round(&mut state, 12);
     round(&mut state, 13);
@@ -106,7 +109,7 @@
 fn agent_says_leaving() {
     let mut state = state(10, MODELS, 3);
     round(&mut state, 10);
-    state.note_leaving(target(4), FencingToken(1));
+    state.record_leaving(target(4), FencingToken(1));
 
     round(&mut state, 12);
 
@@ -119,8 +122,8 @@
     let mut state = state(10, MODELS, 3);
     round(&mut state, 10);
     let name = target(4);
-    state.raise_vm(name.as_str().into(), 1_001, None);
-    state.raise_seen(1_001);
+    state.update_vm(name.as_str().into(), 1_001, None);
+    state.advance_revision(1_001);
 
     round(&mut state, 1_002);
 
@@ -138,12 +141,12 @@
     let mut shard = GrantShard::default();
     let newcomer = target(77);
     shard.grant(&model_name(0), &newcomer, 1).expect("granted");
-    state.raise_shard(shard_of(&model_name(0)), 2_000, Some(shard));
+    state.update_shard(shard_of(&model_name(0)), 2_000, Some(shard));
 
     assert_eq!(round(&mut state, 2_001), 0);
 
     assert_eq!(of_target(&state, &newcomer).len(), 1);
-    state.raise_seen(2_002);
+    state.advance_revision(2_002);
     round(&mut state, 2_003);
     assert!(of_target(&state, &newcomer).is_empty());
 }
@@ -152,7 +155,7 @@
 fn undeclared_model() {
     let mut state = state(10, MODELS, 3);
     round(&mut state, 10);
-    state.raise_config(config(1_003, 2, MODELS - 1, 3));
+    state.update_config(config(1_003, 2, MODELS - 1, 3));
 
     round(&mut state, 1_004);
 
@@ -167,7 +170,7 @@
 fn lowered_replicas() {
     let mut state = state(10, MODELS, 3);
     round(&mut state, 10);
-    state.raise_config(config(1_003, 2, MODELS, 1));
+    state.update_config(config(1_003, 2, MODELS, 1));
 
     round(&mut state, 1_004);
 
@@ -187,7 +190,7 @@
     round(&mut state, 10);
     assert_eq!(grants(&state).len(), 2);
     for i in 0..2 {
-        state.raise_incarnation(target(i), 1_001, None);
+        state.update_incarnation(target(i), 1_001, None);
     }
 
     round(&mut state, 1_002);
--- a/crates/stair-entry/tests/control_state.rs
+++ b/crates/stair-entry/tests/control_state.rs
@@ -56,22 +56,22 @@
 fn arrive(state: &mut State, arrival: Arrival) {
     match arrival {
         Arrival::Config(v) => {
-            state.raise_config(config(v, v, 1, 1));
+            state.update_config(config(v, v, 1, 1));
         }
         Arrival::Shard(v) => {
             let next_id = GrantId(v);
             let grants = Vec::new();
-            state.raise_shard(ShardId(3), v, Some(GrantShard { next_id, grants }));
+            state.update_shard(ShardId(3), v, Some(GrantShard { next_id, grants }));
         }
         Arrival::Record(v) => {
-            state.raise_incarnation(target(1), v, Some(record(v)));
+            state.update_incarnation(target(1), v, Some(record(v)));
         }
         Arrival::Vm(v) => {
             let vm = target_vm(1, VmState::Live);
-            state.raise_vm(target(1).as_str().into(), v, Some(vm));
+            state.update_vm(target(1).as_str().into(), v, Some(vm));
         }
         Arrival::VmGone(v) => {
-            state.raise_vm(target(1).as_str().into(), v, None);
+            state.update_vm(target(1).as_str().into(), v, None);
         }
     }
 }
@@ -113,23 +113,23 @@
     let mut state = State::default();
     for i in 0..10_000 {
         let name = target(i).as_str().into();
-        state.raise_vm(
+        state.update_vm(
             name,
             u64::from(i) * 2 + 1,
             Some(target_vm(i, VmState::Live)),
         );
         let name = target(i).as_str().into();
-        state.raise_vm(name, u64::from(i) * 2 + 2, None);
-        state.raise_seen(u64::from(i) * 2 + 2);
+        state.update_vm(name, u64::from(i) * 2 + 2, None);
+        state.advance_revision(u64::from(i) * 2 + 2);
     }
     assert!(state.vms.len() < 5_000, "{} are held", state.vms.len());
 
     let late = Some(target_vm(5, VmState::Live));
-    assert!(!state.raise_vm(target(5).as_str().into(), 11, late));
+    assert!(!state.update_vm(target(5).as_str().into(), 11, late));
 
     assert!(!state.is_listed(&target(5)));
     let new = Some(target_vm(5, VmState::Live));
-    assert!(state.raise_vm(target(5).as_str().into(), 50_000, new));
+    assert!(state.update_vm(target(5).as_str().into(), 50_000, new));
 }
 
 #[test]
@@ -137,7 +137,7 @@
     let mut state = state(1, 1, 1);
     for i in 0..5 {
         let name = format!("entry-{i}");
-        state.raise_vm(name.as_str().into(), 2_000, Some(entry_vm(i)));
+        state.update_vm(name.as_str().into(), 2_000, Some(entry_vm(i)));
     }
     let ranks: Vec<Vec<usize>> = (0..5).map(|i| state.ranks(&entry(i))).collect();
     for shard in 0..ranks[0].len() {
@@ -152,9 +152,9 @@
     let mut state = state(3, 2, 1);
     let first = state.view(&View::default());
 
-    state.raise_config(config(1_001, 2, 2, 1));
+    state.update_config(config(1_001, 2, 2, 1));
     let second = state.view(&first);
-    state.note_leaving(target(1), record(1).token);
+    state.record_leaving(target(1), record(1).token);
     let third = state.view(&second);
 
     assert_eq!(second.config.0, 2);
@@ -175,22 +175,22 @@
     let mut shard = GrantShard::default();
     shard.grant(&model_name(0), &target(0), 1).expect("granted");
     let id = stair_state::grants::shard_of(&model_name(0));
-    state.raise_shard(id, 5, Some(shard.clone()));
+    state.update_shard(id, 5, Some(shard.clone()));
     let before = assignment(&state);
     assert_eq!(before.models.len(), 1);
 
-    state.raise_config(config(1_001, 2, 3, 1));
+    state.update_config(config(1_001, 2, 3, 1));
     shard.next_id = GrantId(9);
-    state.raise_shard(id, 1_002, Some(shard.clone()));
+    state.update_shard(id, 1_002, Some(shard.clone()));
     assert!(!differs(&before, &assignment(&state)));
 
-    state.raise_config(config(1_003, 3, 3, 2));
+    state.update_config(config(1_003, 3, 3, 2));
     assert!(
         differs(&before, &assignment(&state)),
         "its model has changed"
     );
     shard.revoke(GrantId(0));
-    state.raise_shard(id, 1_004, Some(shard));
+    state.update_shard(id, 1_004, Some(shard));
     assert!(
         differs(&before, &assignment(&state)),
         "its grant is revoked"
--- a/crates/stair-entry/tests/support/rig.rs
+++ b/crates/stair-entry/tests/support/rig.rs
@@ -238,7 +238,7 @@
     View {
         entries: 1,
         migrating: Vec::new(),
-        fleet: 0,
+        fleet_version: 0,
         shard_versions: Vec::new(),
         config: ConfigVersion(1),
         confirmed: true,
