--- a/crates/dandelionstair/src/entry.rs
+++ b/crates/dandelionstair/src/entry.rs
@@ -30,7 +30,7 @@
         }))?;
         tokio::select! {
             _ = stop.wait_for(|s| *s) => {}
-            () = entry.drain_asked() => {}
+            () = entry.drain_requested() => {}
         }
         entry.stop().await;
         Ok(ExitCode::SUCCESS)
--- a/crates/stair-dev/examples/slopes/cost.rs
+++ b/crates/stair-dev/examples/slopes/cost.rs
@@ -14,10 +14,10 @@
     control::{
         assignment::{
             self,
-            Granted, //
+            GrantsByTarget, //
         },
         propose::{
-            Round,
+            Planner,
             is_settled, //
         },
         state::State, //
@@ -82,7 +82,7 @@
     let view = median(|| drop(black_box(state.view(&first))));
     let names = agents(&state);
     let assignments = median(|| {
-        let granted = Granted::new(&state, names.clone());
+        let granted = GrantsByTarget::new(&state, names.clone());
         for name in &names {
             black_box(assignment::derive(&state, &granted, name, &[]));
         }
@@ -98,9 +98,9 @@
         }
     });
     let proposals = median(|| {
-        let mut round = Round::new(&state);
+        let mut planner = Planner::new(&state);
         for shard in &mine {
-            black_box(round.propose(&state, *shard));
+            black_box(planner.propose(&state, *shard));
         }
     });
     let chunks = state.config.chunks.clone();
@@ -133,7 +133,7 @@
     let chunks = &state.config.chunks;
     let chunk_bytes: usize = chunks.iter().map(|c| json_len(&c.value)).sum();
     let names = agents(&state);
-    let granted = Granted::new(&state, names.clone());
+    let granted = GrantsByTarget::new(&state, names.clone());
     let one = assignment::derive(&state, &granted, &names[0], &[]);
     println!(
         "| {} | {} | {:.1} | {} | {} | {} | {} | {} | {} | {} |",
--- a/crates/stair-dev/examples/slopes/size.rs
+++ b/crates/stair-dev/examples/slopes/size.rs
@@ -9,7 +9,7 @@
     chunks, //
 };
 use stair_entry::control::{
-    propose::Round,
+    propose::Planner,
     state::{
         Config,
         State,
@@ -128,10 +128,10 @@
         state.update_incarnation(name, next(), Some(record));
     }
     state.confirmed = true;
-    let mut round = Round::new(&state);
+    let mut planner = Planner::new(&state);
     for shard in 0..state.shards.len() {
         let shard = ShardId(shard as u16);
-        if let Some(made) = round.propose(&state, shard) {
+        if let Some(made) = planner.propose(&state, shard) {
             state.update_shard(shard, next(), Some(made));
         }
     }
--- a/crates/stair-entry/src/control/actor.rs
+++ b/crates/stair-entry/src/control/actor.rs
@@ -55,7 +55,7 @@
 
 /// How often pending work is looked at again: proposals of a home that does not act, releases
 /// whose write failed.
-const TICK: Duration = Duration::from_millis(500);
+const TICK_INTERVAL: Duration = Duration::from_millis(500);
 
 /// What the actor is started with.
 pub struct Arguments<S> {
@@ -77,7 +77,7 @@
     pub(super) entries: Arc<Vec<EntryAddress>>,
     pub(super) flush_sent: bool,
     /// Whether grants may have to change since the last round of proposals.
-    pub(super) unproposed: bool,
+    pub(super) proposals_due: bool,
     /// For each shard, how many live entries come before this one; empty until it is worked out.
     pub(super) ranks: Vec<usize>,
     /// For each shard, since when a change is needed that this entry is not first for.
@@ -120,7 +120,7 @@
         myself: ActorRef<Msg>,
         args: Arguments<S>,
     ) -> Result<Control<S>, ActorProcessingErr> {
-        myself.send_interval(TICK, || Msg::Tick);
+        myself.send_interval(TICK_INTERVAL, || Msg::Tick);
         let shards = State::default().shards.len();
         Ok(Control {
             args,
@@ -128,7 +128,7 @@
             agents: Vec::new(),
             entries: Arc::default(),
             flush_sent: false,
-            unproposed: false,
+            proposals_due: false,
             ranks: Vec::new(),
             needed_since: vec![None; shards],
             writing: vec![false; shards],
@@ -156,27 +156,29 @@
 {
     fn handle(&mut self, myself: &ActorRef<Msg>, msg: Msg) {
         let changed = match msg {
-            Msg::Listed(listed) => self.take_list(*listed),
-            Msg::Changes(events) => self.take_changes(events),
+            Msg::Listed(listed) => self.apply_list(*listed),
+            Msg::Changes(events) => self.apply_changes(events),
             // An own write comes back and changes nothing, but more may follow from it.
-            Msg::Seen(revision) => self.state.advance_revision(revision) && self.unproposed,
+            Msg::CompleteTo(revision) => {
+                self.state.advance_revision(revision) && self.proposals_due
+            }
             Msg::Config(config) => self.state.update_config(*config),
             Msg::Confirmed => {
                 self.state.confirmed = true;
                 true
             }
-            Msg::Written(shard, result) => self.take_written(shard, result),
+            Msg::Written(shard, result) => self.finish_write(shard, result),
             Msg::ReleaseDone(shard, grants) => {
                 self.releases
                     .retain(|r| r.shard != shard || !grants.contains(&r.grant));
                 false
             }
-            Msg::AgentUp(up) => self.add_agent(*up),
-            Msg::AgentDown(stream) => {
+            Msg::AgentConnected(connected) => self.add_agent(*connected),
+            Msg::AgentDisconnected(stream) => {
                 self.agents.retain(|a| a.stream != stream);
                 false
             }
-            Msg::AgentSaid(stream, said) => self.agent_said(stream, said),
+            Msg::AgentMessage(stream, msg) => self.handle_agent_message(stream, msg),
             Msg::Flush => {
                 self.flush(myself);
                 false
@@ -205,7 +207,7 @@
         }
     }
 
-    fn take_list(&mut self, listed: Listed) -> bool {
+    fn apply_list(&mut self, listed: Listed) -> bool {
         let revision = listed.page.revision;
         let names = listed.page.events.iter().filter_map(|e| match e {
             Event::Put(object) => Some(object.name.clone()),
@@ -213,7 +215,7 @@
         });
         let mut names: Vec<Box<str>> = names.collect();
         names.sort();
-        let mut changed = self.take_changes(listed.page.events);
+        let mut changed = self.apply_changes(listed.page.events);
         changed |= match listed.kind {
             Kind::Vm => self.state.remove_unlisted_vms(&names, revision),
             Kind::Incarnation => {
@@ -228,11 +230,11 @@
         changed
     }
 
-    fn take_changes(&mut self, events: Vec<Event>) -> bool {
+    fn apply_changes(&mut self, events: Vec<Event>) -> bool {
         let mut changed = false;
         for event in events {
             changed |= match event {
-                Event::Put(object) => self.take_put(&object).unwrap_or_else(|e| {
+                Event::Put(object) => self.apply_put(&object).unwrap_or_else(|e| {
                     let kind = object.kind.as_str();
                     warn!(
                         Part::Platform,
@@ -244,13 +246,13 @@
                     kind,
                     name,
                     version,
-                } => self.take_deleted(kind, name, version),
+                } => self.apply_deletion(kind, name, version),
             };
         }
         changed
     }
 
-    fn take_put(&mut self, object: &Object) -> Result<bool, Error> {
+    fn apply_put(&mut self, object: &Object) -> Result<bool, Error> {
         let version = object.version;
         match object.kind {
             Kind::Grants => {
@@ -272,7 +274,7 @@
         }
     }
 
-    fn take_deleted(&mut self, kind: Kind, name: Box<str>, version: u64) -> bool {
+    fn apply_deletion(&mut self, kind: Kind, name: Box<str>, version: u64) -> bool {
         match kind {
             Kind::Vm => self.state.update_vm(name, version, None),
             Kind::Incarnation => match TargetName::try_from(name) {
@@ -285,7 +287,7 @@
         }
     }
 
-    fn take_written(
+    fn finish_write(
         &mut self,
         shard: ShardId,
         result: Result<Option<Versioned<GrantShard>>, Error>,
@@ -302,7 +304,7 @@
             Err(Error::Conflict) => false,
             Err(e) => {
                 warn!(Part::Grants, "Shard {shard} was not written: {e}.");
-                self.unproposed = true;
+                self.proposals_due = true;
                 false
             }
         }
@@ -310,7 +312,7 @@
 
     fn flush(&mut self, myself: &ActorRef<Msg>) {
         self.flush_sent = false;
-        self.unproposed = true;
+        self.proposals_due = true;
         let policy = &self.state.config.catalogue.policy;
         self.args
             .scheduler
@@ -349,7 +351,7 @@
 
     fn tick(&mut self, myself: &ActorRef<Msg>) {
         self.write_releases(myself);
-        if self.unproposed {
+        if self.proposals_due {
             self.propose(myself);
         }
         self.delete_stale_records();
--- a/crates/stair-entry/src/control/agents.rs
+++ b/crates/stair-entry/src/control/agents.rs
@@ -25,10 +25,10 @@
     actor::Control,
     assignment::{
         self,
-        Granted, //
+        GrantsByTarget, //
     },
     msg::{
-        AgentUp,
+        AgentConnected,
         Outbox,
         StreamId, //
     },
@@ -47,7 +47,7 @@
 impl AgentStream {
     /// Tells whether the agent lacks a configuration that it was sent. A change that does not
     /// concern the agent is not sent, and it is not behind for that.
-    pub(super) fn is_behind(&self) -> bool {
+    pub(super) fn is_lagging(&self) -> bool {
         let sent = &self.outbox.borrow().assignment;
         sent.as_ref().is_none_or(|a| a.config > self.config)
     }
@@ -57,27 +57,30 @@
 where
     S: ObjectStore,
 {
-    pub(super) fn add_agent(&mut self, up: AgentUp) -> bool {
+    pub(super) fn add_agent(&mut self, connected: AgentConnected) -> bool {
         info!(
             Part::Links,
-            "Agent {} with incarnation {} is linked.", up.hello.target, up.hello.incarnation
+            "Agent {} with incarnation {} is linked.",
+            connected.hello.target,
+            connected.hello.incarnation
         );
         // An agent has one control stream to an entry; an older one is silent or about to end.
-        self.agents.retain(|a| a.hello.target != up.hello.target);
+        self.agents
+            .retain(|a| a.hello.target != connected.hello.target);
         self.agents.push(AgentStream {
-            stream: up.stream,
-            hello: up.hello,
-            outbox: up.outbox,
+            stream: connected.stream,
+            hello: connected.hello,
+            outbox: connected.outbox,
             config: ConfigVersion(0),
         });
         true
     }
 
-    pub(super) fn agent_said(&mut self, stream: StreamId, said: AgentControl) -> bool {
+    pub(super) fn handle_agent_message(&mut self, stream: StreamId, msg: AgentControl) -> bool {
         let Some(agent) = self.agents.iter_mut().find(|a| a.stream == stream) else {
             return false;
         };
-        match said {
+        match msg {
             AgentControl::InForce { config } => {
                 agent.config = config;
                 let sent = agent.outbox.borrow().assignment.clone();
@@ -85,7 +88,7 @@
             }
             AgentControl::Released { grants } => {
                 for (shard, grant) in grants {
-                    self.note_release(shard, grant);
+                    self.add_release(shard, grant);
                 }
                 true
             }
@@ -102,7 +105,7 @@
         }
     }
 
-    pub(super) fn note_release(&mut self, shard: ShardId, grant: GrantId) {
+    pub(super) fn add_release(&mut self, shard: ShardId, grant: GrantId) {
         let known = |r: &Release| r.shard == shard && r.grant == grant;
         if !self.releases.iter().any(known) {
             self.releases.push(Release {
@@ -113,7 +116,7 @@
         }
     }
 
-    fn note_entries(&mut self) {
+    fn refresh_entries(&mut self) {
         let changed = *self.state.entries() != **self.entries;
         if changed {
             self.entries = Arc::new(self.state.entries().to_vec());
@@ -124,16 +127,16 @@
     }
 
     pub(super) fn update_agents(&mut self) {
-        self.note_entries();
+        self.refresh_entries();
         let targets = self.agents.iter().map(|a| a.hello.target.clone());
-        let granted = Granted::new(&self.state, targets.collect());
+        let granted = GrantsByTarget::new(&self.state, targets.collect());
         // An entry that has just started may not have seen itself in the platform's list yet, nor
         // the others. Agents would take its short list for the whole, drop their links to entries
         // that it lacks, and have none left.
         let is_listed = self.entries.iter().any(|e| e.name == self.args.name);
         for agent in &mut self.agents {
-            let seen = seen_shards(agent);
-            let next = assignment::derive(&self.state, &granted, &agent.hello.target, &seen);
+            let previous = previous_shards(agent);
+            let next = assignment::derive(&self.state, &granted, &agent.hello.target, &previous);
             let entries = &self.entries;
             let vm = self.state.vm_notice(&agent.hello.target);
             agent.outbox.send_if_modified(|out| {
@@ -164,10 +167,10 @@
     sent < at_agent && at_agent < now
 }
 
-fn seen_shards(agent: &AgentStream) -> Vec<ShardId> {
-    let mut seen: Vec<ShardId> = agent.hello.shards.iter().map(|(s, _)| *s).collect();
+fn previous_shards(agent: &AgentStream) -> Vec<ShardId> {
+    let mut previous: Vec<ShardId> = agent.hello.shards.iter().map(|(s, _)| *s).collect();
     if let Some(assignment) = agent.outbox.borrow().assignment.as_ref() {
-        seen.extend(assignment.shards.iter().map(|s| s.shard));
+        previous.extend(assignment.shards.iter().map(|s| s.shard));
     }
-    seen
+    previous
 }
--- a/crates/stair-entry/src/control/assignment.rs
+++ b/crates/stair-entry/src/control/assignment.rs
@@ -19,7 +19,7 @@
 
 /// The grants of some targets, found by one walk over all grants of the deployment.
 #[derive(Debug)]
-pub struct Granted<'s> {
+pub struct GrantsByTarget<'s> {
     /// Sorted.
     targets: Vec<TargetName>,
     /// For each of the targets, by shard and then by model.
@@ -32,7 +32,7 @@
     grant: &'s Grant,
 }
 
-impl<'s> Granted<'s> {
+impl<'s> GrantsByTarget<'s> {
     /// Finds the grants of `targets`.
     pub fn new(state: &'s State, mut targets: Vec<TargetName>) -> Self {
         targets.sort_unstable();
@@ -58,17 +58,17 @@
 
 /// Derives the assignment of a target.
 ///
-/// Shards named in `seen` are included even when the target has no grant in them: the agent held
+/// Shards named in `previous` are included even when the target has no grant in them: the agent held
 /// one there before, and has to learn that it is gone.
 pub fn derive(
     state: &State,
-    granted: &Granted<'_>,
+    granted: &GrantsByTarget<'_>,
     target: &TargetName,
-    seen: &[ShardId],
+    previous: &[ShardId],
 ) -> Assignment {
     let found = granted.of(target);
     let mut ids: Vec<ShardId> = found.iter().map(|f| f.shard).collect();
-    ids.extend(seen);
+    ids.extend(previous);
     ids.sort_unstable();
     ids.dedup();
     let shards = ids.into_iter().filter_map(|s| shard(state, s, found));
--- a/crates/stair-entry/src/control/feed.rs
+++ b/crates/stair-entry/src/control/feed.rs
@@ -2,7 +2,7 @@
 //! platform is down.
 //!
 //! A waiting watch is one call, on all kinds at once, so that an idle entry costs the platform
-//! one call each [`WATCH_TIME`]. After an outage the watch goes on from its last position and
+//! one call each [`WATCH_DURATION`]. After an outage the watch goes on from its last position and
 //! nothing is listed again.
 
 use std::{
@@ -57,7 +57,7 @@
 /// of the configuration has 8 s to be in force, so at most 6 are left for that. 410 entries make
 /// 137 calls a second at this time, of the 2,000 reads that the platform takes, and an entry sends
 /// and receives about 0.2 KB a second for it.
-const WATCH_TIME: Duration = Duration::from_secs(3);
+const WATCH_DURATION: Duration = Duration::from_secs(3);
 
 /// The part of the time of a watch by which it is shorter or longer at random. The entries' watches
 /// all answer at each change, and would be asked again at the same moment for good.
@@ -71,8 +71,8 @@
 
 /// First and longest pause after a failed call. All entries lose the platform at the same moment;
 /// pauses that grow and differ keep them from coming back together.
-const FIRST_PAUSE: Duration = Duration::from_millis(200);
-const LONGEST_PAUSE: Duration = Duration::from_secs(5);
+const MIN_BACKOFF: Duration = Duration::from_millis(200);
+const MAX_BACKOFF: Duration = Duration::from_secs(5);
 
 /// Entries that learn of a new manifest at the same moment spread their reads of its chunks over
 /// this time for each of them: at 410 entries that is 0.4 s, a thousand reads a second.
@@ -80,7 +80,7 @@
 
 /// Times that peers are asked at least in an outage: of several peers the one that knows the latest
 /// configuration may be too slow the first time.
-const PEER_ROUNDS: u32 = 3;
+const MIN_PEER_QUERIES: u32 = 3;
 
 /// A complete list of one kind.
 #[derive(Debug, Clone)]
@@ -126,13 +126,13 @@
 
     /// Runs for the life of the process.
     pub async fn run(mut self, pool: Pool, peers: Vec<SocketAddr>) {
-        let mut pause = Pause::new();
-        let mut rounds = 0;
+        let mut backoff = Backoff::new();
+        let mut peer_queries = 0;
         loop {
             match self.list().await {
                 Ok(revision) => {
-                    pause = Pause::new();
-                    let _ = self.actor.send_message(Msg::Seen(revision));
+                    backoff = Backoff::new();
+                    let _ = self.actor.send_message(Msg::CompleteTo(revision));
                     let _ = self.actor.send_message(Msg::Confirmed);
                     self.watch(revision).await;
                 }
@@ -140,11 +140,11 @@
                     warn!(Part::Platform, "The platform cannot be listed: {e}.");
                     // Asked until one has told a configuration. What peers learn later arrives
                     // here by the watch as well, and a snapshot is large.
-                    if self.manifest == 0 || rounds < PEER_ROUNDS {
-                        rounds += 1;
-                        self.ask_peers(&pool, peers.clone()).await;
+                    if self.manifest == 0 || peer_queries < MIN_PEER_QUERIES {
+                        peer_queries += 1;
+                        self.query_peers(&pool, peers.clone()).await;
                     }
-                    pause.wait().await;
+                    backoff.wait().await;
                 }
             }
         }
@@ -158,7 +158,7 @@
             let page = self.store.list(kind).await?;
             revision = revision.min(page.revision);
             if kind == Kind::Manifest {
-                self.note_manifests(&page);
+                self.record_manifests(&page);
                 self.load_pending().await?;
             } else {
                 let _ = self
@@ -171,17 +171,17 @@
 
     /// Watches from a position until the platform no longer has it.
     async fn watch(&mut self, mut since: u64) {
-        let mut pause = Pause::new();
+        let mut backoff = Backoff::new();
         loop {
             let wait = match self.pending {
-                Some(_) => FIRST_PAUSE,
-                None => WATCH_TIME.mul_f64(1.0 + WATCH_JITTER * rand::random_range(-1.0..1.0)),
+                Some(_) => MIN_BACKOFF,
+                None => WATCH_DURATION.mul_f64(1.0 + WATCH_JITTER * rand::random_range(-1.0..1.0)),
             };
             match self.store.watch(&KINDS, since, wait).await {
                 Ok(page) => {
-                    pause = Pause::new();
+                    backoff = Backoff::new();
                     since = page.revision.max(since);
-                    self.note_manifests(&page);
+                    self.record_manifests(&page);
                     if page.events.is_empty() && self.pending.is_none() {
                         continue;
                     }
@@ -191,7 +191,7 @@
                         warn!(Part::Config, "A configuration cannot be read yet: {e}.");
                     }
                     let seen = self.unread_since.map_or(since, |version| version - 1);
-                    let _ = self.actor.send_message(Msg::Seen(seen));
+                    let _ = self.actor.send_message(Msg::CompleteTo(seen));
                     if changed {
                         let share = 0.5 + rand::random::<f64>();
                         let spread = WATCH_SPREAD_PER_ENTRY * self.entries();
@@ -201,13 +201,13 @@
                 Err(Error::Gone) => return,
                 Err(e) => {
                     warn!(Part::Platform, "The watch failed: {e}.");
-                    pause.wait().await;
+                    backoff.wait().await;
                 }
             }
         }
     }
 
-    fn note_manifests(&mut self, page: &Page) {
+    fn record_manifests(&mut self, page: &Page) {
         for event in &page.events {
             if let Event::Put(object) = event
                 && object.kind == Kind::Manifest
@@ -231,8 +231,8 @@
         tokio::time::sleep(spread.mul_f64(rand::random())).await;
         let manifest: Manifest = decode(&object)?;
         let mut all = Vec::with_capacity(manifest.chunks.len());
-        for wanted in &manifest.chunks {
-            all.push(self.chunk(&wanted.hash).await?);
+        for chunk_ref in &manifest.chunks {
+            all.push(self.chunk(&chunk_ref.hash).await?);
         }
         self.put_in_force(object.version, manifest, all)?;
         self.pending = None;
@@ -245,8 +245,8 @@
     }
 
     async fn chunk(&self, hash: &str) -> Result<Chunk, Error> {
-        if let Some(held) = self.chunks.iter().find(|c| *c.hash == *hash) {
-            return Ok(held.clone());
+        if let Some(cached) = self.chunks.iter().find(|c| *c.hash == *hash) {
+            return Ok(cached.clone());
         }
         let object = self.store.get(Kind::Chunk, hash).await?;
         Ok(Chunk {
@@ -277,13 +277,13 @@
         Ok(())
     }
 
-    async fn ask_peers(&mut self, pool: &Pool, peers: Vec<SocketAddr>) {
-        for snapshot in peers::ask_several(pool, peers).await {
-            self.take_snapshot(snapshot);
+    async fn query_peers(&mut self, pool: &Pool, peers: Vec<SocketAddr>) {
+        for snapshot in peers::fetch_snapshots(pool, peers).await {
+            self.apply_snapshot(snapshot);
         }
     }
 
-    fn take_snapshot(&mut self, snapshot: Snapshot) {
+    fn apply_snapshot(&mut self, snapshot: Snapshot) {
         let (config, others): (Vec<Object>, Vec<Object>) = snapshot
             .objects
             .into_iter()
@@ -295,9 +295,9 @@
                 hash: o.name.clone(),
                 value: o.value.clone(),
             });
-            let taken =
+            let applied =
                 decode(object).and_then(|m| self.put_in_force(object.version, m, chunks.collect()));
-            if let Err(e) = taken {
+            if let Err(e) = applied {
                 warn!(Part::Members, "A peer's configuration is unusable: {e}.");
             }
         }
@@ -318,18 +318,18 @@
     serde_json::from_value(object.value.clone()).map_err(|e| Error::Invalid(e.to_string().into()))
 }
 
-struct Pause {
+struct Backoff {
     next: Duration,
 }
 
-impl Pause {
+impl Backoff {
     fn new() -> Self {
-        Self { next: FIRST_PAUSE }
+        Self { next: MIN_BACKOFF }
     }
 
     async fn wait(&mut self) {
         let jitter: f64 = rand::random();
         tokio::time::sleep(self.next.mul_f64(0.5 + jitter)).await;
-        self.next = (self.next * 2).min(LONGEST_PAUSE);
+        self.next = (self.next * 2).min(MAX_BACKOFF);
     }
 }
--- a/crates/stair-entry/src/control/links.rs
+++ b/crates/stair-entry/src/control/links.rs
@@ -42,7 +42,7 @@
 use crate::control::{
     load_slots::LoadSlotScheduler,
     msg::{
-        AgentUp,
+        AgentConnected,
         Msg,
         Outbox,
         StreamId, //
@@ -50,7 +50,7 @@
 };
 
 /// A peer that opens a stream and sends nothing is cut after this time.
-const OPENING_TIME: Duration = Duration::from_secs(5);
+const OPENING_TIMEOUT: Duration = Duration::from_secs(5);
 
 static NEXT_STREAM: AtomicU64 = AtomicU64::new(0);
 
@@ -81,7 +81,7 @@
     scheduler: LoadSlotScheduler,
 ) -> anyhow::Result<()> {
     let opening = frame::read_message(&mut rx);
-    match tokio::time::timeout(OPENING_TIME, opening).await?? {
+    match tokio::time::timeout(OPENING_TIMEOUT, opening).await?? {
         Opening::Agent(hello) => serve_agent(tx, rx, actor, hello).await,
         Opening::Peer(PeerRequest::Snapshot) => serve_snapshot(tx, actor).await,
         Opening::Turn(req) => serve_load_slot(tx, rx, &scheduler, req).await,
@@ -96,23 +96,23 @@
 ) -> anyhow::Result<()> {
     let stream = StreamId(NEXT_STREAM.fetch_add(1, Ordering::Relaxed));
     let (outbox, sent) = watch::channel(Outbox::default());
-    let up = AgentUp {
+    let connected = AgentConnected {
         stream,
         hello,
         outbox,
     };
-    actor.send_message(Msg::AgentUp(Box::new(up)))?;
+    actor.send_message(Msg::AgentConnected(Box::new(connected)))?;
     let reading = async {
         loop {
-            let said: AgentControl = frame::read_message(&mut rx).await?;
-            actor.send_message(Msg::AgentSaid(stream, said))?;
+            let msg: AgentControl = frame::read_message(&mut rx).await?;
+            actor.send_message(Msg::AgentMessage(stream, msg))?;
         }
     };
     let result = tokio::select! {
         result = reading => result,
         result = send_outbox(tx, sent) => result,
     };
-    actor.send_message(Msg::AgentDown(stream))?;
+    actor.send_message(Msg::AgentDisconnected(stream))?;
     result
 }
 
--- a/crates/stair-entry/src/control/memory_pressure.rs
+++ b/crates/stair-entry/src/control/memory_pressure.rs
@@ -26,7 +26,7 @@
 use crate::control::{
     actor::Control,
     msg::Msg,
-    propose::Round,
+    propose::Planner,
     shards, //
 };
 
@@ -118,9 +118,9 @@
         if self.memory_pressure.requested.is_empty() || !self.state.confirmed {
             return;
         }
-        let mut round = Round::new(&self.state);
+        let mut planner = Planner::new(&self.state);
         for requested_move in std::mem::take(&mut self.memory_pressure.requested) {
-            if let Some(model) = self.model_to_move(&mut round, &requested_move, now) {
+            if let Some(model) = self.model_to_move(&mut planner, &requested_move, now) {
                 info!(
                     Part::Grants,
                     "A grant of {model} moves to a target with room."
@@ -143,7 +143,7 @@
 
     fn model_to_move(
         &self,
-        round: &mut Round,
+        planner: &mut Planner,
         requested_move: &RequestedMove,
         now: Instant,
     ) -> Option<ModelName> {
@@ -161,7 +161,8 @@
             < MAX_MOVES_IN_PROGRESS;
         let allowed = !grant.revoking && free && self.memory_pressure.may_move(&model.name, now);
         let avoid = self.memory_pressure.targets_to_avoid();
-        let placed = allowed && round.has_place(shard, model, requested_move.grant, &avoid);
+        let placed =
+            allowed && planner.has_other_target(shard, model, requested_move.grant, &avoid);
         placed.then(|| model.name.clone())
     }
 }
--- a/crates/stair-entry/src/control/msg.rs
+++ b/crates/stair-entry/src/control/msg.rs
@@ -45,17 +45,17 @@
     /// Everything was listed from the platform itself.
     Confirmed,
     /// Everything up to this revision of the platform has been sent here.
-    Seen(u64),
+    CompleteTo(u64),
     /// A shard as this entry has just written it.
     Written(ShardId, Result<Option<Versioned<GrantShard>>, Error>),
     /// Grants that were written as given back.
     ReleaseDone(ShardId, Vec<GrantId>),
     /// An agent opened its control stream.
-    AgentUp(Box<AgentUp>),
+    AgentConnected(Box<AgentConnected>),
     /// The control stream ended.
-    AgentDown(StreamId),
+    AgentDisconnected(StreamId),
     /// An agent said something.
-    AgentSaid(StreamId, AgentControl),
+    AgentMessage(StreamId, AgentControl),
     /// Many changes have come; look at them all at once.
     Flush,
     /// Time passed.
@@ -85,7 +85,7 @@
 
 /// An agent opened its control stream.
 #[derive(Debug)]
-pub struct AgentUp {
+pub struct AgentConnected {
     /// The stream.
     pub stream: StreamId,
     /// How the agent introduced itself.
--- a/crates/stair-entry/src/control/peers.rs
+++ b/crates/stair-entry/src/control/peers.rs
@@ -25,21 +25,21 @@
 use tokio::task::JoinSet;
 
 /// Time for one peer to send its snapshot.
-const PEER_TIME: Duration = Duration::from_secs(2);
+const PEER_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Peers asked at start. One may itself be behind; three that all are is unlikely.
-const PEERS_ASKED: usize = 3;
+const MAX_PEERS: usize = 3;
 
 /// Returns the snapshots of those peers that answer in time.
-pub(super) async fn ask_several(pool: &Pool, peers: Vec<SocketAddr>) -> Vec<Snapshot> {
-    let mut answers = JoinSet::new();
-    for peer in peers.into_iter().take(PEERS_ASKED) {
+pub(super) async fn fetch_snapshots(pool: &Pool, peers: Vec<SocketAddr>) -> Vec<Snapshot> {
+    let mut replies = JoinSet::new();
+    for peer in peers.into_iter().take(MAX_PEERS) {
         let pool = pool.clone();
-        answers.spawn(async move { ask(&pool, peer).await });
+        replies.spawn(async move { fetch_snapshot(&pool, peer).await });
     }
     let mut snapshots = Vec::new();
-    while let Some(answer) = answers.join_next().await {
-        match answer {
+    while let Some(reply) = replies.join_next().await {
+        match reply {
             Ok(Ok(snapshot)) => snapshots.push(snapshot),
             Ok(Err(e)) => warn!(Part::Members, "A peer did not answer: {e}."),
             Err(_) => {}
@@ -48,8 +48,8 @@
     snapshots
 }
 
-async fn ask(pool: &Pool, peer: SocketAddr) -> anyhow::Result<Snapshot> {
-    let asking = async {
+async fn fetch_snapshot(pool: &Pool, peer: SocketAddr) -> anyhow::Result<Snapshot> {
+    let fetch = async {
         let link = pool.get(peer).await?;
         let _in_use = link.use_it();
         let (mut tx, mut rx) = link.open().await?;
@@ -57,5 +57,5 @@
         let body = frame::read_body(&mut rx).await?;
         Ok(serde_json::from_slice(&body)?)
     };
-    tokio::time::timeout(PEER_TIME, asking).await?
+    tokio::time::timeout(PEER_TIMEOUT, fetch).await?
 }
--- a/crates/stair-entry/src/control/propose.rs
+++ b/crates/stair-entry/src/control/propose.rs
@@ -32,13 +32,13 @@
 
 /// The fleet as placement sees it, made once for all shards of one round.
 #[derive(Debug)]
-pub struct Round {
+pub struct Planner {
     fleet: Fleet,
     /// The arena that the keys point into, sorted by name.
     names: Vec<TargetName>,
 }
 
-impl Round {
+impl Planner {
     /// Prepares a round: O(n log n) in the targets and O(g log n) in the grants.
     pub fn new(state: &State) -> Self {
         let mut data_centres: Vec<&DataCentre> = Vec::new();
@@ -63,19 +63,19 @@
             });
             names.push(agent.name.clone());
         }
-        let mut round = Self {
+        let mut planner = Self {
             fleet: Fleet::new(infos),
             names,
         };
-        round.count_grants(state);
-        round
+        planner.count_grants(state);
+        planner
     }
 
     /// Returns the shard as it should be, or none when it is right already.
     pub fn propose(&mut self, state: &State, shard: ShardId) -> Option<GrantShard> {
         let held = &state.shards[usize::from(shard.0)];
         let mut next = held.value.clone().unwrap_or_default();
-        remove_gone(state, &mut next);
+        remove_unlisted_holders(state, &mut next);
         self.revoke_undeclared(state, &mut next);
         let catalogue = state.config.catalogue.clone();
         let models = catalogue.models.iter();
@@ -108,7 +108,7 @@
     }
 
     /// Tells whether a model that gives up a grant would find another target.
-    pub fn has_place(
+    pub fn has_other_target(
         &mut self,
         shard: &GrantShard,
         model: &Model,
@@ -205,35 +205,35 @@
 /// A grant of a VM that does not answer stays: the VM may be paused with the model loaded. Only
 /// when the platform has taken the VM away is its memory surely gone. Grants go to listed VMs
 /// only, so a holder that is not listed was listed before.
-fn remove_gone(state: &State, shard: &mut GrantShard) {
-    let mut gone: Vec<TargetName> = shard
+fn remove_unlisted_holders(state: &State, shard: &mut GrantShard) {
+    let mut unlisted: Vec<TargetName> = shard
         .grants
         .iter()
         .filter(|g| !state.is_listed(&g.target))
         .map(|g| g.target.clone())
         .collect();
-    gone.dedup();
-    for target in gone {
+    unlisted.dedup();
+    for target in unlisted {
         shard.remove_target(&target);
     }
 }
 
 /// Tells whether a shard is surely right as it is, at the cost of the shard and not of the fleet.
 ///
-/// Most changes concern few shards, and preparing a [`Round`] for 12,000 targets with each change
+/// Most changes concern few shards, and preparing a [`Planner`] for 12,000 targets with each change
 /// would cost most of what control may use.
 pub fn is_settled(state: &State, shard: ShardId) -> bool {
     let held = &state.shards[usize::from(shard.0)];
     let grants = held.value.as_ref().map_or(&[][..], |s| &s.grants);
     let catalogue = &state.config.catalogue;
-    let right = |g: &Grant| {
+    let is_valid = |g: &Grant| {
         let declared = catalogue.model(g.model.as_str());
         declared.is_some_and(|m| {
             state.is_listed(&g.target) && (g.revoking || may_keep(state, &g.target, m.memory_mib))
         })
     };
     let mut models = catalogue.models.iter();
-    grants.iter().all(right)
+    grants.iter().all(is_valid)
         && models.all(|m| {
             stair_state::grants::shard_of(&m.name) != shard
                 || held.value.as_ref().map_or(0, |s| s.of_model(&m.name).len())
--- a/crates/stair-entry/src/control/report.rs
+++ b/crates/stair-entry/src/control/report.rs
@@ -49,7 +49,7 @@
             "config": self.args.view.borrow().config,
             "confirmed": self.state.confirmed,
             "agents": self.agents.len(),
-            "agents_behind": self.agents.iter().filter(|a| a.is_behind()).count(),
+            "agents_behind": self.agents.iter().filter(|a| a.is_lagging()).count(),
         })
     }
 
@@ -59,7 +59,7 @@
                 "target": a.hello.target,
                 "incarnation": a.hello.incarnation,
                 "config": a.config,
-                "behind": a.is_behind(),
+                "behind": a.is_lagging(),
             })
         });
         json!({
--- a/crates/stair-entry/src/control/shards.rs
+++ b/crates/stair-entry/src/control/shards.rs
@@ -13,7 +13,7 @@
 
 /// Tries of one update. Each conflict means that another entry's update took effect, so with a
 /// few entries at work on a shard a few tries are enough; the next round starts over anyway.
-const TRIES: usize = 4;
+const MAX_ATTEMPTS: usize = 4;
 
 /// Writes a shard that was derived from a given version, and returns it with its new version.
 ///
@@ -63,7 +63,7 @@
     F: FnMut(&mut GrantShard) -> bool,
 {
     let mut last = Error::Conflict;
-    for _ in 0..TRIES {
+    for _ in 0..MAX_ATTEMPTS {
         let object = store.get(Kind::Grants, &shard.to_string()).await?;
         let mut value: GrantShard = serde_json::from_value(object.value)
             .map_err(|e| Error::Invalid(e.to_string().into()))?;
--- a/crates/stair-entry/src/control/thread.rs
+++ b/crates/stair-entry/src/control/thread.rs
@@ -109,8 +109,8 @@
     }
 
     /// Returns a handle to ask for dump and status with.
-    pub fn asker(&self) -> Asker {
-        Asker {
+    pub fn client(&self) -> ControlClient {
+        ControlClient {
             actor: self.actor.clone(),
         }
     }
@@ -126,22 +126,22 @@
 
 /// Asks control for its state.
 #[derive(Clone)]
-pub struct Asker {
+pub struct ControlClient {
     actor: ActorRef<Msg>,
 }
 
-impl Asker {
+impl ControlClient {
     /// Returns the whole state; null when control has ended.
     pub async fn dump(&self) -> Value {
-        self.ask(Msg::Dump).await
+        self.query(Msg::Dump).await
     }
 
     /// Returns the short status; null when control has ended.
     pub async fn status(&self) -> Value {
-        self.ask(Msg::Status).await
+        self.query(Msg::Status).await
     }
 
-    async fn ask<F>(&self, msg: F) -> Value
+    async fn query<F>(&self, msg: F) -> Value
     where
         F: FnOnce(oneshot::Sender<Value>) -> Msg,
     {
@@ -179,7 +179,7 @@
                 return;
             }
         };
-        match start_parts(opts, view, &listener).await {
+        match start_tasks(opts, view, &listener).await {
             Ok(parts) => {
                 let _ = started.send(Ok(parts));
                 let _ = stopped.await;
@@ -192,7 +192,7 @@
     });
 }
 
-async fn start_parts<S>(
+async fn start_tasks<S>(
     opts: Options<S>,
     view: watch::Sender<Arc<View>>,
     listener: &Listener,
--- a/crates/stair-entry/src/control/writes.rs
+++ b/crates/stair-entry/src/control/writes.rs
@@ -20,7 +20,7 @@
     actor::Control,
     msg::Msg,
     propose::{
-        Round,
+        Planner,
         is_settled, //
     },
     shards,
@@ -30,14 +30,14 @@
 /// An entry that is second for a shard acts when a needed change has been pending for this time,
 /// the third after twice the time. So a dead home is replaced in seconds, although the platform's
 /// list still shows it, and entries that merely hear of a change a little apart do not collide.
-const STAND_IN_AFTER: Duration = Duration::from_secs(3);
+const FALLBACK_DELAY: Duration = Duration::from_secs(3);
 
 /// Entries that may act in place of a shard's home. All three are dead and yet listed only for the
 /// few seconds that the list lags; the others don't look at the shard, which is most of the work.
-const STAND_INS: usize = 3;
+const MAX_FALLBACKS: usize = 3;
 
 /// Records of agents deleted in one tick; a data centre that is lost leaves hundreds.
-const DELETED_A_TICK: usize = 8;
+const MAX_DELETIONS_PER_TICK: usize = 8;
 
 /// A grant that an agent gave back and that is not yet written as such.
 pub(super) struct Release {
@@ -67,7 +67,7 @@
                 shard,
                 models: self.models_of(shard, &grants),
                 grants,
-                round: Round::new(&self.state),
+                planner: Planner::new(&self.state),
                 avoid: self.memory_pressure.targets_to_avoid(),
             };
             tokio::spawn(write_release(self.args.store.clone(), myself.clone(), job));
@@ -100,15 +100,15 @@
         if !self.state.confirmed || version_of(&self.state.config).0 == 0 {
             return;
         }
-        self.unproposed = false;
-        let mut round = None;
+        self.proposals_due = false;
+        let mut planner = None;
         for i in 0..self.state.shards.len() {
             let shard = ShardId(i as u16);
             let rank = self.ranks.get(i).copied().unwrap_or(0);
             if self.writing[i] {
                 continue;
             }
-            if rank > STAND_INS || is_settled(&self.state, shard) {
+            if rank > MAX_FALLBACKS || is_settled(&self.state, shard) {
                 self.needed_since[i] = None;
                 continue;
             }
@@ -116,17 +116,17 @@
             // it would be removed, and the model be loaded twice. The watch is a moment behind, or
             // its connection is silent, and another entry acts.
             if !self.state.is_complete_for(shard) {
-                self.unproposed = true;
+                self.proposals_due = true;
                 continue;
             }
-            let round = round.get_or_insert_with(|| Round::new(&self.state));
-            let Some(next) = round.propose(&self.state, shard) else {
+            let planner = planner.get_or_insert_with(|| Planner::new(&self.state));
+            let Some(next) = planner.propose(&self.state, shard) else {
                 self.needed_since[i] = None;
                 continue;
             };
             let since = *self.needed_since[i].get_or_insert_with(Instant::now);
-            if since.elapsed() < STAND_IN_AFTER * rank as u32 {
-                self.unproposed = true;
+            if since.elapsed() < FALLBACK_DELAY * rank as u32 {
+                self.proposals_due = true;
                 continue;
             }
             self.writing[i] = true;
@@ -157,7 +157,7 @@
                 && vm.is_some_and(|vm| vm.value.is_none() && vm.version > agent.object.version)
                 && self.state.rank(&self.args.name, name) == 0
         });
-        for agent in stale.take(DELETED_A_TICK) {
+        for agent in stale.take(MAX_DELETIONS_PER_TICK) {
             self.swept_fleet = None;
             let store = self.args.store.clone();
             let name = agent.name.clone();
@@ -190,7 +190,7 @@
     shard: ShardId,
     grants: Vec<GrantId>,
     models: Vec<Model>,
-    round: Round,
+    planner: Planner,
     avoid: Vec<TargetName>,
 }
 
@@ -203,7 +203,7 @@
             shard.confirm(*grant);
         }
         for model in &self.models {
-            self.round.refill(shard, model, &self.avoid);
+            self.planner.refill(shard, model, &self.avoid);
         }
         *shard != before
     }
--- a/crates/stair-entry/src/metered.rs
+++ b/crates/stair-entry/src/metered.rs
@@ -32,12 +32,12 @@
         Self { store, metrics }
     }
 
-    async fn count<T, F>(&self, call: PlatformCall, calling: F) -> Result<T, Error>
+    async fn measure<T, F>(&self, call: PlatformCall, call_future: F) -> Result<T, Error>
     where
         F: Future<Output = Result<T, Error>>,
     {
         let began = Instant::now();
-        let result = calling.await;
+        let result = call_future.await;
         // A watch takes as long as it waits, which tells nothing of the platform.
         if call != PlatformCall::Watch {
             self.metrics.latency(Latency::Platform, began.elapsed());
@@ -56,13 +56,13 @@
     S: ObjectStore,
 {
     async fn get(&self, kind: Kind, name: &str) -> Result<Object, Error> {
-        let calling = self.store.get(kind, name);
-        self.count(PlatformCall::Get, calling).await
+        let call_future = self.store.get(kind, name);
+        self.measure(PlatformCall::Get, call_future).await
     }
 
     async fn list(&self, kind: Kind) -> Result<Page, Error> {
-        let calling = self.store.list(kind);
-        self.count(PlatformCall::List, calling).await
+        let call_future = self.store.list(kind);
+        self.measure(PlatformCall::List, call_future).await
     }
 
     async fn put(
@@ -72,17 +72,17 @@
         value: &Value,
         condition: Condition,
     ) -> Result<u64, Error> {
-        let calling = self.store.put(kind, name, value, condition);
-        self.count(PlatformCall::Put, calling).await
+        let call_future = self.store.put(kind, name, value, condition);
+        self.measure(PlatformCall::Put, call_future).await
     }
 
     async fn delete(&self, kind: Kind, name: &str, version: u64) -> Result<(), Error> {
-        let calling = self.store.delete(kind, name, version);
-        self.count(PlatformCall::Delete, calling).await
+        let call_future = self.store.delete(kind, name, version);
+        self.measure(PlatformCall::Delete, call_future).await
     }
 
     async fn watch(&self, kinds: &[Kind], since: u64, wait: Duration) -> Result<Page, Error> {
-        let calling = self.store.watch(kinds, since, wait);
-        self.count(PlatformCall::Watch, calling).await
+        let call_future = self.store.watch(kinds, since, wait);
+        self.measure(PlatformCall::Watch, call_future).await
     }
 }
--- a/crates/stair-entry/src/process.rs
+++ b/crates/stair-entry/src/process.rs
@@ -40,7 +40,7 @@
     control::{
         Control,
         Options,
-        thread::Asker, //
+        thread::ControlClient, //
     },
     metered::Metered,
     traffic::Traffic,
@@ -52,11 +52,11 @@
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(750);
 
 /// Time between two reports to statsd.
-const REPORT_EVERY: Duration = Duration::from_secs(1);
+const REPORT_INTERVAL: Duration = Duration::from_secs(1);
 
 /// A running entry.
 pub struct Entry<S> {
-    parts: Arc<Parts<S>>,
+    shared: Arc<Shared<S>>,
     control: Control,
     addresses: Addresses,
     ended: watch::Sender<bool>,
@@ -75,9 +75,9 @@
     pub operator: SocketAddr,
 }
 
-struct Parts<S> {
+struct Shared<S> {
     traffic: Traffic<Metered<S>>,
-    asker: Asker,
+    client: ControlClient,
     dialer: Dialer,
     pool: Pool,
     view: watch::Receiver<Arc<View>>,
@@ -116,7 +116,7 @@
         let dialer = Dialer::new(&keys, CONNECT_TIMEOUT)?;
         let pool = Pool::new(dialer.clone(), Probing::REQUESTS);
         let (drain, _) = watch::channel(false);
-        let parts = Arc::new(Parts {
+        let shared = Arc::new(Shared {
             traffic: Traffic::with_metrics(
                 control.view(),
                 settings.data_centre.clone(),
@@ -125,19 +125,19 @@
                 store,
                 metrics.clone(),
             ),
-            asker: control.asker(),
+            client: control.client(),
             dialer,
             pool,
             view: control.view(),
             drain,
         });
         let (ended, stop) = watch::channel(false);
-        let traffic = parts.traffic.clone();
+        let traffic = shared.traffic.clone();
         let callers_stop = stop.clone();
         let servers = vec![
             tokio::spawn(async move { traffic.serve(listen, callers_stop).await }),
-            tokio::spawn(operator::serve(operator, stop.clone(), routes(&parts))),
-            tokio::spawn(report(parts.clone(), metrics, stop)),
+            tokio::spawn(operator::serve(operator, stop.clone(), routes(&shared))),
+            tokio::spawn(report(shared.clone(), metrics, stop)),
         ];
         info!(
             Part::Entry,
@@ -148,7 +148,7 @@
             addresses.operator
         );
         Ok(Self {
-            parts,
+            shared,
             control,
             addresses,
             ended,
@@ -164,19 +164,19 @@
 
     /// Returns what control publishes.
     pub fn view(&self) -> watch::Receiver<Arc<View>> {
-        self.parts.view.clone()
+        self.shared.view.clone()
     }
 
     /// Returns the state dump.
     pub async fn dump(&self) -> Value {
-        dump(&self.parts).await
+        dump(&self.shared).await
     }
 
     /// Waits until the operator asks for a planned stop.
-    pub async fn drain_asked(&self) {
-        let mut asked = self.parts.drain.subscribe();
+    pub async fn drain_requested(&self) {
+        let mut requested = self.shared.drain.subscribe();
         // The sender lives as long as this entry.
-        let _ = asked.wait_for(|d| *d).await;
+        let _ = requested.wait_for(|d| *d).await;
     }
 
     /// Stops without cutting a request: refuses new ones, finishes those in the entry, and listens
@@ -184,8 +184,8 @@
     pub async fn stop(self) {
         info!(Part::Entry, "The planned stop begins.");
         let until = Instant::now() + self.linger;
-        self.parts.traffic.begin_drain();
-        self.parts.traffic.drained().await;
+        self.shared.traffic.begin_drain();
+        self.shared.traffic.drained().await;
         tokio::time::sleep_until(until).await;
         // Requests refused at the very end are finished too: the servers end their connections
         // gracefully.
@@ -199,7 +199,7 @@
 }
 
 /// Sends about once a second what is counted rather than noted as it happens.
-async fn report<S>(parts: Arc<Parts<S>>, metrics: Metrics, mut stop: watch::Receiver<bool>)
+async fn report<S>(shared: Arc<Shared<S>>, metrics: Metrics, mut stop: watch::Receiver<bool>)
 where
     S: ObjectStore,
 {
@@ -207,9 +207,9 @@
     let mut ended = false;
     while !ended {
         let stopping = stop.wait_for(|s| *s);
-        ended = timeout(REPORT_EVERY, stopping).await.is_ok();
-        parts.traffic.report();
-        let now = parts.dialer.replaced();
+        ended = timeout(REPORT_INTERVAL, stopping).await.is_ok();
+        shared.traffic.report();
+        let now = shared.dialer.replaced();
         (replaced..now).for_each(|_| metrics.link_replaced());
         replaced = now;
         metrics.flush();
@@ -233,7 +233,7 @@
     let entry = Entry::start(settings, keys, store).await?;
     tokio::select! {
         _ = stop.wait_for(|s| *s) => {}
-        () = entry.drain_asked() => {}
+        () = entry.drain_requested() => {}
     }
     entry.stop().await;
     Ok(())
@@ -246,44 +246,44 @@
 }
 
 fn routes<S>(
-    parts: &Arc<Parts<S>>,
+    shared: &Arc<Shared<S>>,
 ) -> Routes<
-    impl Fn() -> BoxedAnswer<Value> + Clone + Send + Sync + 'static,
-    impl Fn() -> BoxedAnswer<Value> + Clone + Send + Sync + 'static,
-    impl Fn() -> BoxedAnswer<()> + Clone + Send + Sync + 'static,
+    impl Fn() -> BoxedFuture<Value> + Clone + Send + Sync + 'static,
+    impl Fn() -> BoxedFuture<Value> + Clone + Send + Sync + 'static,
+    impl Fn() -> BoxedFuture<()> + Clone + Send + Sync + 'static,
 >
 where
     S: ObjectStore,
 {
-    let (for_status, for_dump, for_drain) = (parts.clone(), parts.clone(), parts.clone());
+    let (for_status, for_dump, for_drain) = (shared.clone(), shared.clone(), shared.clone());
     Routes {
-        status: move || -> BoxedAnswer<Value> {
-            let asker = for_status.asker.clone();
-            Box::pin(async move { asker.status().await })
+        status: move || -> BoxedFuture<Value> {
+            let client = for_status.client.clone();
+            Box::pin(async move { client.status().await })
         },
-        dump: move || -> BoxedAnswer<Value> {
-            let parts = for_dump.clone();
-            Box::pin(async move { dump(&parts).await })
+        dump: move || -> BoxedFuture<Value> {
+            let shared = for_dump.clone();
+            Box::pin(async move { dump(&shared).await })
         },
-        drain: move || -> BoxedAnswer<()> {
+        drain: move || -> BoxedFuture<()> {
             for_drain.drain.send_replace(true);
             Box::pin(std::future::ready(()))
         },
     }
 }
 
-type BoxedAnswer<T> = std::pin::Pin<Box<dyn Future<Output = T> + Send>>;
+type BoxedFuture<T> = std::pin::Pin<Box<dyn Future<Output = T> + Send>>;
 
-async fn dump<S>(parts: &Parts<S>) -> Value
+async fn dump<S>(shared: &Shared<S>) -> Value
 where
     S: ObjectStore,
 {
     json!({
-        "control": parts.asker.dump().await,
-        "traffic": parts.traffic.dump(),
+        "control": shared.client.dump().await,
+        "traffic": shared.traffic.dump(),
         "links": {
-            "live": parts.pool.live(),
-            "local_port_replaced": parts.dialer.replaced(),
+            "live": shared.pool.live(),
+            "local_port_replaced": shared.dialer.replaced(),
         },
     })
 }
--- a/crates/stair-entry/tests/control_propose.rs
+++ b/crates/stair-entry/tests/control_propose.rs
@@ -12,7 +12,7 @@
 };
 use stair_entry::control::{
     propose::{
-        Round,
+        Planner,
         is_settled, //
     },
     state::State, //
@@ -36,7 +36,7 @@
 
 /// Proposes for every shard that may be judged and takes what is proposed as written at `version`.
 fn round(state: &mut State, version: u64) -> usize {
-    let mut round = Round::new(state);
+    let mut planner = Planner::new(state);
     let mut written = 0;
     let judged = (0..SHARDS).map(ShardId);
     for shard in judged
@@ -44,7 +44,7 @@
         .collect::<Vec<_>>()
     {
         let settled = is_settled(state, shard);
-        if let Some(next) = round.propose(state, shard) {
+        if let Some(next) = planner.propose(state, shard) {
             assert!(!settled, "a shard that needs a change was taken for right");
             state.update_shard(shard, version, Some(next));
             written += 1;
--- a/crates/stair-entry/tests/control_state.rs
+++ b/crates/stair-entry/tests/control_state.rs
@@ -22,7 +22,7 @@
     View,
     control::{
         assignment::{
-            Granted,
+            GrantsByTarget,
             derive,
             differs, //
         },
@@ -164,7 +164,7 @@
 
 fn assignment(state: &State) -> Assignment {
     let name = target(0);
-    let granted = Granted::new(state, vec![name.clone()]);
+    let granted = GrantsByTarget::new(state, vec![name.clone()]);
     derive(state, &granted, &name, &[])
 }
 
