--- a/crates/stair-entry/src/traffic/accept.rs
+++ b/crates/stair-entry/src/traffic/accept.rs
@@ -52,10 +52,10 @@
         header_timeout: Duration::from_millis(cx.limits.receive_timeout_ms.into()),
         ..server::Options::default()
     };
-    server::serve(listener, opts, stop, move |req| answer(cx.clone(), req)).await;
+    server::serve(listener, opts, stop, move |req| respond(cx.clone(), req)).await;
 }
 
-async fn answer<S>(cx: Arc<Cx<S>>, req: Request<Incoming>) -> Response<Body>
+async fn respond<S>(cx: Arc<Cx<S>>, req: Request<Incoming>) -> Response<Body>
 where
     S: ObjectStore,
 {
@@ -107,16 +107,16 @@
             "this entry knows no configuration yet",
         ));
     }
-    let who = auth::caller(&view.catalogue, req.headers())?;
+    let identity = auth::authenticate(&view.catalogue, req.headers())?;
     if matches!(route, Route::Models) {
         return Ok(models::response(&view.catalogue));
     }
-    let (req, admitted) = request::receive(cx, &view, id, received, route, &who, req).await?;
+    let (req, admitted) = request::receive(cx, &view, id, received, route, &identity, req).await?;
     Ok(run::spawn(cx.clone(), req, admitted).await)
 }
 
-fn health(well: bool) -> Response<Body> {
-    let (status, text) = match well {
+fn health(healthy: bool) -> Response<Body> {
+    let (status, text) = match healthy {
         true => (StatusCode::OK, "ok\n"),
         false => (StatusCode::SERVICE_UNAVAILABLE, "not serving\n"),
     };
--- a/crates/stair-entry/src/traffic/admit.rs
+++ b/crates/stair-entry/src/traffic/admit.rs
@@ -30,10 +30,10 @@
 /// The part of each bound that the lowest tier leaves to the better ones, in percent. A quarter
 /// lets a full entry still take a burst of better-paid work; more would refuse lower tiers while
 /// memory is free.
-const KEPT_PERCENT: u64 = 25;
+const RESERVED_PERCENT: u64 = 25;
 
 /// Weight of the newest request in the mean time that requests spend in the entry.
-const MEAN_STEP: f64 = 0.05;
+const MEAN_WEIGHT: f64 = 0.05;
 
 /// How far a request has come.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -104,14 +104,14 @@
         bytes: u64,
     ) -> Result<Admitted, Refused> {
         let mut counts = self.lock();
-        let fits = counts.requests < part(self.max_requests, rank, tiers)
-            && counts.bytes + bytes <= part(self.max_bytes, rank, tiers);
+        let fits = counts.requests < tier_limit(self.max_requests, rank, tiers)
+            && counts.bytes + bytes <= tier_limit(self.max_bytes, rank, tiers);
         if !fits {
             // About half of what is here has gone after the mean time.
-            let drain = Duration::from_secs_f64(counts.mean_ms / 1_000.0);
+            let retry_after = Duration::from_secs_f64(counts.mean_ms / 1_000.0);
             return Err(Refused::later(
                 Reason::QueueFull,
-                drain,
+                retry_after,
                 "the entry is full for this tier",
             ));
         }
@@ -132,7 +132,7 @@
     }
 
     /// Waits until no request is in the entry.
-    pub(super) async fn empty(&self) {
+    pub(super) async fn drained(&self) {
         loop {
             let changed = self.changed.notified();
             if self.lock().requests == 0 {
@@ -159,10 +159,10 @@
 
 /// Returns the part of a bound that a tier may fill. The best tier has all of it, and the part
 /// shrinks evenly down to the lowest.
-fn part(bound: u64, rank: TierRank, tiers: usize) -> u64 {
+fn tier_limit(bound: u64, rank: TierRank, tiers: usize) -> u64 {
     let lowest = tiers.saturating_sub(1).max(1) as u64;
     let rank = u64::from(rank.0).min(lowest);
-    bound - bound * KEPT_PERCENT * rank / (100 * lowest)
+    bound - bound * RESERVED_PERCENT * rank / (100 * lowest)
 }
 
 /// A request's place in the entry, given back when dropped.
@@ -176,14 +176,14 @@
 
 impl Admitted {
     /// Gives back the memory that the body turned out not to need.
-    pub(super) fn shrink(&mut self, bytes: u64) {
+    pub(super) fn release_unused(&mut self, bytes: u64) {
         let unused = self.bytes.saturating_sub(bytes);
         self.bytes -= unused;
         self.gate.lock().bytes -= unused;
     }
 
     /// Notes how far the request has come.
-    pub(super) fn enter(&mut self, phase: Phase) {
+    pub(super) fn set_phase(&mut self, phase: Phase) {
         let mut counts = self.gate.lock();
         *counts.tiers[self.tier].of(self.phase) -= 1;
         *counts.tiers[self.tier].of(phase) += 1;
@@ -193,15 +193,15 @@
 
 impl Drop for Admitted {
     fn drop(&mut self) {
-        let spent = self.since.elapsed().as_secs_f64() * 1_000.0;
+        let spent_ms = self.since.elapsed().as_secs_f64() * 1_000.0;
         let mut counts = self.gate.lock();
         counts.requests -= 1;
         counts.bytes -= self.bytes;
-        counts.mean_ms += MEAN_STEP * (spent - counts.mean_ms);
+        counts.mean_ms += MEAN_WEIGHT * (spent_ms - counts.mean_ms);
         *counts.tiers[self.tier].of(self.phase) -= 1;
-        let empty = counts.requests == 0;
+        let is_empty = counts.requests == 0;
         drop(counts);
-        if empty {
+        if is_empty {
             self.gate.changed.notify_waiters();
         }
     }
--- a/crates/stair-entry/src/traffic/auth.rs
+++ b/crates/stair-entry/src/traffic/auth.rs
@@ -17,7 +17,7 @@
 
 /// A caller whose key is known.
 #[derive(Debug, Clone)]
-pub(super) struct Who {
+pub(super) struct Identity {
     pub(super) name: CallerName,
     pub(super) tier: TierName,
     pub(super) rank: TierRank,
@@ -25,7 +25,10 @@
     pub(super) timeout_ms: u32,
 }
 
-pub(super) fn caller(catalogue: &Catalogue, headers: &HeaderMap) -> Result<Who, Refused> {
+pub(super) fn authenticate(
+    catalogue: &Catalogue,
+    headers: &HeaderMap,
+) -> Result<Identity, Refused> {
     let unauthorized = |text| Refused::new(Reason::Unauthorized, text);
     let key = headers
         .get(AUTHORIZATION)
@@ -38,7 +41,7 @@
     let tier = catalogue
         .tier(&caller.tier)
         .ok_or_else(|| unauthorized("the key's tier is not declared"))?;
-    Ok(Who {
+    Ok(Identity {
         name: caller.name.clone(),
         tier: tier.name.clone(),
         rank: tier.rank,
--- a/crates/stair-entry/src/traffic/body.rs
+++ b/crates/stair-entry/src/traffic/body.rs
@@ -23,7 +23,7 @@
 const SEARCH_BYTES: usize = 16 << 10;
 
 /// Longer bodies are not copied: what they waste of a read buffer is less than themselves.
-const SHORT_BYTES: usize = 4 << 10;
+const MAX_COPIED_BYTES: usize = 4 << 10;
 
 /// The fields of an inference's body.
 #[derive(Debug, Deserialize)]
@@ -47,7 +47,7 @@
     let time = Duration::from_millis(limits.receive_timeout_ms.into());
     let limit = limits.max_body_bytes as usize;
     let read = stair_http::body::read(body, limit, time).await;
-    let read = read.map(own);
+    let read = read.map(copy_if_short);
     read.map_err(|e| match e {
         ReadError::TooLarge(_) => Refused::too_large(limits.max_body_bytes),
         ReadError::TooSlow(_) => Refused::too_slow(),
@@ -59,8 +59,8 @@
 ///
 /// The buffer has 8 KiB and lives as long as a part of it; the connection takes a second one
 /// meanwhile. With 10,000 requests that wait, that would be 80 MB for bodies of a kilobyte.
-fn own(body: Bytes) -> Bytes {
-    match body.len() <= SHORT_BYTES {
+fn copy_if_short(body: Bytes) -> Bytes {
+    match body.len() <= MAX_COPIED_BYTES {
         true => Bytes::copy_from_slice(&body),
         false => body,
     }
--- a/crates/stair-entry/src/traffic/choose.rs
+++ b/crates/stair-entry/src/traffic/choose.rs
@@ -26,7 +26,7 @@
 use super::{Cx, request::Request, targets::Target};
 
 /// Expected time of a load where nothing is known of it.
-const COLD_START: Duration = Duration::from_secs(10);
+const DEFAULT_LOAD_DURATION: Duration = Duration::from_secs(10);
 
 /// A target picked for a request.
 #[derive(Clone)]
@@ -47,7 +47,7 @@
         .filter(|k| !tried.contains(&view.target(**k).name))
         .filter_map(|k| candidate(cx, &view, req, *k))
         .collect();
-    let home = choose::prefix_home(
+    let affinity = choose::prefix_home(
         req.prefix_hash,
         candidates
             .iter()
@@ -56,7 +56,7 @@
     let candidates: Vec<Candidate> = candidates
         .into_iter()
         .map(|c| Candidate {
-            prefix_affinity: home == Some(c.key),
+            prefix_affinity: affinity == Some(c.key),
             ..c
         })
         .collect();
@@ -110,20 +110,20 @@
         Work::Model { model, .. } => Some(model),
         Work::Service { .. } => None,
     };
-    let known = cx.targets.known(&target.name, model);
-    if target.leaving || known.leaving == Some(target.token) {
+    let stats = cx.targets.stats(&target.name, model);
+    if target.leaving || stats.leaving == Some(target.token) {
         return None;
     }
     Some(Candidate {
         key,
-        loaded: known.loaded,
-        expected_wait: known.expected_wait,
-        report_age: known.report_age,
-        in_flight: known.in_flight,
-        cold_start: COLD_START,
+        loaded: stats.loaded,
+        expected_wait: stats.expected_wait,
+        report_age: stats.report_age,
+        in_flight: stats.in_flight,
+        cold_start: DEFAULT_LOAD_DURATION,
         prefix_affinity: false,
         same_data_centre: target.data_centre == cx.data_centre,
-        weight: known.weight,
+        weight: stats.weight,
     })
 }
 
--- a/crates/stair-entry/src/traffic/claim.rs
+++ b/crates/stair-entry/src/traffic/claim.rs
@@ -54,15 +54,15 @@
 
 /// A claim is kept for so long. The longest request takes ten minutes, and a caller that repeats
 /// does so within minutes of its end.
-const KEEP: Duration = Duration::from_secs(3_600);
+const CLAIM_TTL: Duration = Duration::from_secs(3_600);
 
 /// Time that a ready request waits for its claim. The agent keeps the place free for two seconds
 /// after it said that the request can run; a claim that comes later is of no use.
-const CLAIM_TIME: Duration = Duration::from_millis(1_500);
+const CLAIM_TIMEOUT: Duration = Duration::from_millis(1_500);
 
 /// Reads and writes tried for one batch. Entries that write the same shard at the same time
 /// collide; each collision means that another one got through.
-const TRIES: usize = 12;
+const MAX_ATTEMPTS: usize = 12;
 
 /// Releases and claims that wait for one shard. In an outage the releases of claims whose fate is
 /// unknown collect here, about 150 bytes each.
@@ -70,7 +70,7 @@
 
 /// Time until releases that could not be written are tried again. Claims that come meanwhile wait
 /// with them, and have time for a few tries before they are given up.
-const RELEASE_PAUSE: Duration = Duration::from_millis(300);
+const RELEASE_RETRY_DELAY: Duration = Duration::from_millis(300);
 
 /// Why a key could not be claimed.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -98,18 +98,18 @@
 struct Queue {
     pending: Vec<Pending>,
     is_writing: bool,
-    memory: Memory,
+    cache: ShardCache,
 }
 
 /// What this entry remembers of a shard between writes.
 #[derive(Default)]
-struct Memory {
-    known: Option<Known>,
+struct ShardCache {
+    known: Option<CachedShard>,
     /// An answer to a write was lost: the write may still take effect unless another one follows.
-    is_doubtful: bool,
+    has_unconfirmed_write: bool,
 }
 
-struct Known {
+struct CachedShard {
     value: ClaimShard,
     condition: Condition,
 }
@@ -147,18 +147,18 @@
         &self,
         req: &Request,
         exchange: &Exchange,
-        instead_of: Option<Claim>,
+        replaces: Option<Claim>,
     ) -> Result<(), Error> {
         let claim = Claim {
             key: key(req),
             request: req.id,
             target: exchange.target.name.clone(),
             incarnation: exchange.incarnation,
-            expires_s: now_s() + KEEP.as_secs(),
+            expires_s: now_s() + CLAIM_TTL.as_secs(),
         };
         let (tx, rx) = oneshot::channel();
-        self.push(Change::Claim { claim, instead_of }, Some(tx));
-        match timeout(CLAIM_TIME, rx).await {
+        self.push(Change::Claim { claim, replaces }, Some(tx));
+        match timeout(CLAIM_TIMEOUT, rx).await {
             Ok(Ok(Ok(Outcome::Done))) => Ok(()),
             Ok(Ok(Ok(Outcome::Taken(other)))) => Err(Error::Duplicate(other)),
             Ok(Ok(Ok(Outcome::Full))) => Err(Error::Full),
@@ -208,12 +208,12 @@
 where
     S: ObjectStore,
 {
-    let mut memory = std::mem::take(&mut shard.lock().memory);
+    let mut cache = std::mem::take(&mut shard.lock().cache);
     loop {
         let batch = {
             let mut queue = shard.lock();
             if queue.pending.is_empty() {
-                queue.memory = memory;
+                queue.cache = cache;
                 queue.is_writing = false;
                 return;
             }
@@ -221,7 +221,7 @@
         };
         let (changes, waiting): (Vec<_>, Vec<_>) =
             batch.into_iter().map(|p| (p.change, p.done)).unzip();
-        let result = commit(&store, n, &mut memory, &changes).await;
+        let result = commit(&store, n, &mut cache, &changes).await;
         let has_failed = result.is_err();
         for (i, done) in waiting.into_iter().enumerate() {
             let Some(done) = done else {
@@ -235,8 +235,8 @@
             );
         }
         if has_failed {
-            keep_releases(&shard, changes);
-            tokio::time::sleep(RELEASE_PAUSE).await;
+            requeue_releases(&shard, changes);
+            tokio::time::sleep(RELEASE_RETRY_DELAY).await;
         }
     }
 }
@@ -246,7 +246,7 @@
 /// A claim may take effect although its answer is lost, and the platform may then be down for
 /// longer than one try. The caller was told that nothing ran; a release that were dropped would
 /// make its repeat a duplicate, of a request that never ran, until the claim expires.
-fn keep_releases(shard: &Shard, changes: Vec<Change>) {
+fn requeue_releases(shard: &Shard, changes: Vec<Change>) {
     let releases = changes.into_iter().filter_map(|change| match change {
         Change::Release { .. } => Some(Pending { change, done: None }),
         Change::Claim { .. } => None,
@@ -258,16 +258,16 @@
 async fn commit<S>(
     store: &S,
     n: usize,
-    memory: &mut Memory,
+    cache: &mut ShardCache,
     changes: &[Change],
 ) -> Result<Vec<Outcome>, Error>
 where
     S: ObjectStore,
 {
     let name = n.to_string();
-    for _ in 0..TRIES {
-        let is_fresh = memory.known.is_none();
-        let mut known = match memory.known.take() {
+    for _ in 0..MAX_ATTEMPTS {
+        let is_fresh = cache.known.is_none();
+        let mut known = match cache.known.take() {
             Some(known) => known,
             None => read(store, &name).await?,
         };
@@ -276,8 +276,8 @@
         if !is_fresh && outcomes.iter().any(|o| *o != Outcome::Done) {
             continue;
         }
-        if !changed && !memory.is_doubtful {
-            memory.known = Some(known);
+        if !changed && !cache.has_unconfirmed_write {
+            cache.known = Some(known);
             return Ok(outcomes);
         }
         let Ok(value) = serde_json::to_value(&known.value) else {
@@ -288,8 +288,8 @@
             .await
         {
             Ok(version) => {
-                memory.is_doubtful = false;
-                memory.known = Some(Known {
+                cache.has_unconfirmed_write = false;
+                cache.known = Some(CachedShard {
                     value: known.value,
                     condition: Condition::Version(version),
                 });
@@ -297,7 +297,7 @@
             }
             Err(stair_platform::Error::Conflict) => {}
             // Reading the shard again shows whether the write took effect.
-            Err(stair_platform::Error::Unknown(_)) => memory.is_doubtful = true,
+            Err(stair_platform::Error::Unknown(_)) => cache.has_unconfirmed_write = true,
             Err(_) => return Err(Error::PlatformDown),
         }
     }
@@ -305,16 +305,16 @@
     Err(Error::PlatformDown)
 }
 
-async fn read<S>(store: &S, name: &str) -> Result<Known, Error>
+async fn read<S>(store: &S, name: &str) -> Result<CachedShard, Error>
 where
     S: ObjectStore,
 {
     match store.get(Kind::Claims, name).await {
-        Ok(object) => Ok(Known {
+        Ok(object) => Ok(CachedShard {
             value: serde_json::from_value(object.value).map_err(|_| Error::PlatformDown)?,
             condition: Condition::Version(object.version),
         }),
-        Err(stair_platform::Error::NotFound) => Ok(Known {
+        Err(stair_platform::Error::NotFound) => Ok(CachedShard {
             value: ClaimShard::default(),
             condition: Condition::Absent,
         }),
@@ -335,7 +335,7 @@
 
 /// Returns how long a claim has been held, by this process's clock.
 pub(super) fn age(claim: &Claim) -> Duration {
-    let claimed_s = claim.expires_s.saturating_sub(KEEP.as_secs());
+    let claimed_s = claim.expires_s.saturating_sub(CLAIM_TTL.as_secs());
     Duration::from_secs(now_s().saturating_sub(claimed_s))
 }
 
--- a/crates/stair-entry/src/traffic/dispatch.rs
+++ b/crates/stair-entry/src/traffic/dispatch.rs
@@ -21,7 +21,6 @@
 use super::{
     Cx,
     admit::Phase,
-    answer,
     caller::Caller,
     choose::{
         self,
@@ -29,6 +28,7 @@
     },
     offer,
     request::Request,
+    response,
     run::Progress,
     start,
 };
@@ -47,16 +47,16 @@
     S: ObjectStore,
 {
     count_request(cx);
-    let mut tried = Tried::default();
+    let mut tried = Attempts::default();
     let mut last: Option<Refusal> = None;
     loop {
         let next = choose::next(cx, req, &tried.names).or_else(|| {
-            let again = tried.forget_lost();
+            let again = tried.retry_lost();
             again.then(|| choose::next(cx, req, &tried.names)).flatten()
         });
         let next = match next {
             Some(target) => Some(target),
-            None => moved(cx, req, &tried.names, last.as_ref()).await,
+            None => await_migration(cx, req, &tried.names, last.as_ref()).await,
         };
         let Some(target) = next else {
             return Err(last.unwrap_or_else(no_target));
@@ -65,37 +65,37 @@
             return Err(refusal);
         }
         tried.names.push(target.name.clone());
-        progress.place.enter(Phase::Waiting);
+        progress.admitted.set_phase(Phase::Waiting);
         let id = tried.offer_id(req.id);
         let Err(refusal) = attempt(cx, req, id, &target, caller, progress).await else {
             return Ok(());
         };
-        note(cx, &target, &refusal);
-        tried.note(&target, &refusal);
+        record_refusal(cx, &target, &refusal);
+        tried.record(&target, &refusal);
         // The agent's word that it never ran lifts the doubt that `Start` brought.
         progress.started = false;
-        progress.doubtful |= refusal.verdict != Verdict::NotRun;
-        if caller.has_part() || !may_go_elsewhere(req, &refusal) {
+        progress.earlier_may_have_run |= refusal.verdict != Verdict::NotRun;
+        if caller.head_sent() || !may_try_another(req, &refusal) {
             return Err(refusal);
         }
-        caller.forget();
-        last = Some(sooner(last, refusal));
+        caller.discard();
+        last = Some(soonest(last, refusal));
     }
 }
 
 /// Time for a grant to move: the holder unloads the model and gives the grant back, and the next
 /// target learns of it. Longer than that a caller is better off with its refusal.
-const MOVE_TIME: Duration = Duration::from_secs(3);
+const MIGRATION_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// Time for this entry to hear of a revoke that an agent has heard of already.
-const BEHIND_TIME: Duration = Duration::from_secs(1);
+const VIEW_LAG_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Waits for the target that a model's grant is moving to.
 ///
 /// The holder refuses new work from the moment it learns of the revoke, and without this the
 /// callers of a rarely used model with one replica would be refused although their model is about
 /// to have a better place.
-async fn moved<S>(
+async fn await_migration<S>(
     cx: &Cx<S>,
     req: &Request,
     tried: &[TargetName],
@@ -104,20 +104,20 @@
     let mut view = cx.view.clone();
     // The holder may have heard of the revoke from another entry, before this one has, or leaves
     // and its grants are about to be revoked.
-    let announces = |r: &Refusal| matches!(r.reason, Reason::NotGranted | Reason::Leaving);
-    let is_behind = last.is_some_and(announces);
-    let began = Instant::now();
+    let precedes_revoke = |r: &Refusal| matches!(r.reason, Reason::NotGranted | Reason::Leaving);
+    let view_may_lag = last.is_some_and(precedes_revoke);
+    let started_waiting = Instant::now();
     loop {
         let is_migrating = choose::is_migrating(&view.borrow_and_update(), &req.work);
         if let Some(target) = choose::next(cx, req, tried) {
             return Some(target);
         }
-        let wait = match (is_migrating, is_behind) {
-            (true, _) => MOVE_TIME,
-            (false, true) => BEHIND_TIME,
+        let wait = match (is_migrating, view_may_lag) {
+            (true, _) => MIGRATION_TIMEOUT,
+            (false, true) => VIEW_LAG_TIMEOUT,
             (false, false) => return None,
         };
-        match timeout_at(began + wait, view.changed()).await {
+        match timeout_at(started_waiting + wait, view.changed()).await {
             Ok(Ok(())) => {}
             Ok(Err(_)) | Err(_) => return None,
         }
@@ -126,14 +126,14 @@
 
 /// The targets that a request has been offered to.
 #[derive(Default)]
-struct Tried {
+struct Attempts {
     names: Vec<TargetName>,
     lost: Vec<TargetName>,
-    is_second_round: bool,
+    is_second_pass: bool,
 }
 
-impl Tried {
-    fn note(&mut self, target: &Chosen, refusal: &Refusal) {
+impl Attempts {
+    fn record(&mut self, target: &Chosen, refusal: &Refusal) {
         if refusal.reason == Reason::LinkLost {
             self.lost.push(target.name.clone());
         }
@@ -144,11 +144,11 @@
     /// The link may have gone silent while nobody used it, and the request was the first to find
     /// out. A model often has one holder only; its callers would be refused although the target is
     /// well, and a new link comes from a new port.
-    fn forget_lost(&mut self) -> bool {
-        if self.is_second_round || self.lost.is_empty() {
+    fn retry_lost(&mut self) -> bool {
+        if self.is_second_pass || self.lost.is_empty() {
             return false;
         }
-        self.is_second_round = true;
+        self.is_second_pass = true;
         let lost = std::mem::take(&mut self.lost);
         self.names.retain(|n| !lost.contains(n));
         true
@@ -158,7 +158,7 @@
     /// reached it; so the second round has an id of its own. Work that needs a `Start` got none in
     /// the first round, and cannot run under the first id any more.
     fn offer_id(&self, id: RequestId) -> RequestId {
-        RequestId(id.0 ^ u128::from(self.is_second_round))
+        RequestId(id.0 ^ u128::from(self.is_second_pass))
     }
 }
 
@@ -173,19 +173,19 @@
 where
     S: ObjectStore,
 {
-    let _in_flight = target.target.take();
+    let _in_flight = target.target.begin_request();
     let mut exchange = offer::offer(cx, req, id, target, progress).await?;
     if !progress.started {
         start::start(cx, req, &mut exchange, progress).await?;
     }
-    progress.place.enter(Phase::Started);
-    answer::forward(cx, req, &mut exchange, caller).await
+    progress.admitted.set_phase(Phase::Started);
+    response::forward(cx, req, &mut exchange, caller).await
 }
 
 /// Only work that has surely not run, or that may run twice, goes to another target. A refusal
 /// that every target would repeat is final.
-fn may_go_elsewhere(req: &Request, refusal: &Refusal) -> bool {
-    let elsewhere_differs = match refusal.reason {
+fn may_try_another(req: &Request, refusal: &Refusal) -> bool {
+    let another_may_accept = match refusal.reason {
         Reason::Invalid
         | Reason::Unauthorized
         | Reason::Unknown
@@ -204,25 +204,25 @@
         // An agent that got no `Start` in time; a caller that left does not come this far.
         | Reason::Withdrawn => true,
     };
-    elsewhere_differs && (refusal.verdict == Verdict::NotRun || req.repeatable)
+    another_may_accept && (refusal.verdict == Verdict::NotRun || req.repeatable)
 }
 
-fn note<S>(cx: &Cx<S>, target: &Chosen, refusal: &Refusal) {
+fn record_refusal<S>(cx: &Cx<S>, target: &Chosen, refusal: &Refusal) {
     match refusal.reason {
-        Reason::Leaving => target.target.leaves(target.token),
+        Reason::Leaving => target.target.mark_leaving(target.token),
         Reason::NoTarget => {
-            target.target.unreached();
-            cx.targets.failed(&target.target);
+            target.target.mark_unreachable();
+            cx.targets.record_failure(&target.target);
         }
         Reason::LinkLost | Reason::TargetFailed | Reason::LoadFailed => {
-            cx.targets.failed(&target.target);
+            cx.targets.record_failure(&target.target);
         }
         _ => {}
     }
 }
 
 /// Of two refusals, keeps the one that lets the caller come back sooner.
-fn sooner(last: Option<Refusal>, refusal: Refusal) -> Refusal {
+fn soonest(last: Option<Refusal>, refusal: Refusal) -> Refusal {
     match last {
         Some(last) if last.retry_after_ms > 0 && last.retry_after_ms < refusal.retry_after_ms => {
             last
--- a/crates/stair-entry/src/traffic/dump.rs
+++ b/crates/stair-entry/src/traffic/dump.rs
@@ -20,7 +20,7 @@
     ports_replaced: u64,
     claims_pending: usize,
     retries_left: u64,
-    targets: Vec<targets::Seen>,
+    targets: Vec<targets::TargetDump>,
 }
 
 pub(super) fn dump<S>(cx: &Cx<S>) -> serde_json::Value {
--- a/crates/stair-entry/src/traffic/exchange.rs
+++ b/crates/stair-entry/src/traffic/exchange.rs
@@ -30,7 +30,7 @@
 
 /// Time for a withdrawal to reach the agent. A link that takes longer is silent, and the agent
 /// gives the request up at its deadline.
-const CANCEL_TIME: Duration = Duration::from_secs(2);
+const CANCEL_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// One request's stream to an agent. Dropped before it is over, it withdraws the request there.
 pub(super) struct Exchange {
@@ -94,14 +94,14 @@
     }
 
     /// Notes that the agent has nothing more to say and nothing to withdraw.
-    pub(super) fn over(&mut self) {
+    pub(super) fn finish(&mut self) {
         self.streams = None;
     }
 
     fn streams(&mut self) -> Result<&mut Streams, Error> {
         self.streams.as_mut().ok_or_else(|| {
-            let over = std::io::ErrorKind::NotConnected;
-            Error::Io(over.into())
+            let kind = std::io::ErrorKind::NotConnected;
+            Error::Io(kind.into())
         })
     }
 }
@@ -131,7 +131,7 @@
 }
 
 async fn cancel(mut streams: Streams) {
-    let told = async {
+    let sent = async {
         frame::write_message(&mut streams.tx, &ToAgent::Cancel).await?;
         let _ = streams.tx.finish();
         // Ends when the agent has everything; dropping the other half earlier would reach it as a
@@ -139,5 +139,5 @@
         let _ = streams.tx.stopped().await;
         Ok::<(), Error>(())
     };
-    let _ = tokio::time::timeout(CANCEL_TIME, told).await;
+    let _ = tokio::time::timeout(CANCEL_TIMEOUT, sent).await;
 }
--- a/crates/stair-entry/src/traffic/headers.rs
+++ b/crates/stair-entry/src/traffic/headers.rs
@@ -21,7 +21,7 @@
 
 /// The request's own headers.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub(super) struct Wishes {
+pub(super) struct RequestOptions {
     pub(super) idempotency_key: Option<Box<str>>,
     pub(super) timeout_ms: Option<u32>,
     pub(super) repeatable: Option<bool>,
@@ -31,7 +31,7 @@
 
 /// Headers that end here: those of the connection, those that travel in fields of their own, and
 /// the caller's key, which is no business of a target.
-const NOT_PASSED_ON: [&str; 13] = [
+const NOT_FORWARDED: [&str; 13] = [
     "authorization",
     "connection",
     "content-length",
@@ -48,12 +48,15 @@
 ];
 
 /// Prefix of the project's own headers.
-const OWN: &str = "dandelionstair-";
+const OWN_PREFIX: &str = "dandelionstair-";
 
 /// Returns the headers that a target gets. Values that are not visible ASCII are left out.
-pub(super) fn passed_on(headers: &HeaderMap) -> Vec<Header> {
-    let passes = |name: &str| NOT_PASSED_ON.binary_search(&name).is_err() && !name.starts_with(OWN);
-    let all = headers.iter().filter(|(name, _)| passes(name.as_str()));
+pub(super) fn forwarded(headers: &HeaderMap) -> Vec<Header> {
+    let is_forwarded =
+        |name: &str| NOT_FORWARDED.binary_search(&name).is_err() && !name.starts_with(OWN_PREFIX);
+    let all = headers
+        .iter()
+        .filter(|(name, _)| is_forwarded(name.as_str()));
     all.filter_map(|(name, value)| {
         Some(Header {
             name: name.as_str().into(),
@@ -63,8 +66,8 @@
     .collect()
 }
 
-pub(super) fn wishes(headers: &HeaderMap) -> Result<Wishes, Refused> {
-    Ok(Wishes {
+pub(super) fn options(headers: &HeaderMap) -> Result<RequestOptions, Refused> {
+    Ok(RequestOptions {
         idempotency_key: idempotency_key(headers)?,
         timeout_ms: timeout_ms(headers)?,
         repeatable: repeatable(headers)?,
--- a/crates/stair-entry/src/traffic/mod.rs
+++ b/crates/stair-entry/src/traffic/mod.rs
@@ -12,15 +12,15 @@
 //! - `dispatch`: tries one target after the other.
 //! - `offer`: offers the request on one stream, an `exchange`.
 //! - `start`: waits until it can run, claims its key (`claim`, `shard`) and starts it once, also
-//!   when the key was claimed by a request that never ran (`left_behind`).
-//! - `answer`: brings the answer to the `caller`.
+//!   when the key was claimed by a request that never ran (`abandoned`).
+//! - `response`: brings the answer to the `caller`.
 //! - `resume`: takes it up again after its link broke.
 //! - `refuse`: refusals, with verdict and time to come back.
 //! - `models`, `dump`: what a caller and an operator may ask.
 
+mod abandoned;
 mod accept;
 mod admit;
-mod answer;
 mod auth;
 mod body;
 mod caller;
@@ -30,11 +30,11 @@
 mod dump;
 mod exchange;
 mod headers;
-mod left_behind;
 mod models;
 mod offer;
 mod refuse;
 mod request;
+mod response;
 mod resume;
 mod route;
 mod run;
@@ -175,7 +175,7 @@
 
     /// Waits until no request is in the entry.
     pub async fn drained(&self) {
-        self.cx.gate.empty().await;
+        self.cx.gate.drained().await;
     }
 
     /// Sends how many requests wait, by tier. The process calls it about once a second.
--- a/crates/stair-entry/src/traffic/offer.rs
+++ b/crates/stair-entry/src/traffic/offer.rs
@@ -34,7 +34,7 @@
 
 /// An agent answers an offer at once. One that lets it wait for so long is stuck although its link
 /// lives, and waiting on would hold the request until its deadline.
-const QUEUED_TIME: Duration = Duration::from_secs(3);
+const QUEUED_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// Told to callers whose targets cannot be reached, in milliseconds: about the time in which a
 /// link is replaced.
@@ -60,10 +60,10 @@
     let mut exchange = opened.map_err(|_| unreachable())?;
     // From here on the agent may run work that needs no `Start`.
     progress.started = req.starts_when_ready();
-    match timeout(QUEUED_TIME, queue(req, &mut exchange)).await {
+    match timeout(QUEUED_TIMEOUT, queue(req, &mut exchange)).await {
         Ok(Ok(())) => Ok(exchange),
         Ok(Err(refusal)) if progress.started && refusal.reason == Reason::LinkLost => {
-            take_up(cx, exchange).await
+            resume_offer(cx, exchange).await
         }
         Ok(Err(refusal)) => Err(refusal),
         Err(_) => Err(lost(progress, "the target did not queue the request")),
@@ -74,40 +74,40 @@
 ///
 /// The agent may be running it. Offering it again would run it twice, which such work allows but
 /// which takes a slot from others. A target that no new link reaches either is not waited for.
-async fn take_up<S>(cx: &Cx<S>, mut exchange: Exchange) -> Result<Exchange, Refusal> {
+async fn resume_offer<S>(cx: &Cx<S>, mut exchange: Exchange) -> Result<Exchange, Refusal> {
     let lost = || {
         let message = "the target can no longer be reached";
         Refusal::may_have_run(Reason::NoTarget, RETRY_MS, message)
     };
-    let again = resume::once(cx, &mut exchange, 0).await;
+    let again = resume::resume_once(cx, &mut exchange, 0).await;
     again.map(|()| exchange).map_err(|_| lost())
 }
 
 async fn queue(req: &Request, exchange: &mut Exchange) -> Result<(), Refusal> {
-    let broken = |_| match req.starts_when_ready() {
-        true => Refusal::may_have_run(Reason::LinkLost, 0, BROKE),
-        false => Refusal::not_run(Reason::LinkLost, RETRY_MS, BROKE),
+    let link_lost = |_| match req.starts_when_ready() {
+        true => Refusal::may_have_run(Reason::LinkLost, 0, LINK_BROKE),
+        false => Refusal::not_run(Reason::LinkLost, RETRY_MS, LINK_BROKE),
     };
     let offer = ToAgent::Offer(message(req, exchange));
-    exchange.send(&offer).await.map_err(broken)?;
-    exchange.send_body(&req.body).await.map_err(broken)?;
+    exchange.send(&offer).await.map_err(link_lost)?;
+    exchange.send_body(&req.body).await.map_err(link_lost)?;
     match exchange.read().await {
         Ok(Frame::Message(FromAgent::Queued { incarnation, load })) => {
             exchange.incarnation = incarnation;
-            report(req, &exchange.target, load);
+            record_load(req, &exchange.target, load);
             Ok(())
         }
         Ok(Frame::Message(FromAgent::Refused { refusal, load })) => {
-            report(req, &exchange.target, load);
-            exchange.over();
+            record_load(req, &exchange.target, load);
+            exchange.finish();
             Err(refusal)
         }
-        Ok(_) => Err(broken(Error::WrongKind)),
-        Err(e) => Err(broken(e)),
+        Ok(_) => Err(link_lost(Error::WrongKind)),
+        Err(e) => Err(link_lost(e)),
     }
 }
 
-const BROKE: &str = "the link to the target broke";
+const LINK_BROKE: &str = "the link to the target broke";
 
 /// Makes the refusal of a request whose agent is lost, by whether it may have started.
 pub(super) fn lost(progress: &Progress, message: &str) -> Refusal {
@@ -118,12 +118,12 @@
 }
 
 /// Notes the load that came with a reply.
-pub(super) fn report(req: &Request, target: &Chosen, load: Load) {
+pub(super) fn record_load(req: &Request, target: &Chosen, load: Load) {
     let model = match &req.work {
         Work::Model { model, .. } => Some(model),
         Work::Service { .. } => None,
     };
-    target.target.report(load, model);
+    target.target.record_load(load, model);
 }
 
 fn message(req: &Request, exchange: &Exchange) -> Offer {
--- a/crates/stair-entry/src/traffic/refuse.rs
+++ b/crates/stair-entry/src/traffic/refuse.rs
@@ -45,9 +45,13 @@
         Refusal::not_run(reason, 0, message).into()
     }
 
-    /// Refuses what has not run and may be sent again after about `drain`.
-    pub(super) fn later(reason: Reason, drain: Duration, message: impl Into<Box<str>>) -> Self {
-        Refusal::not_run(reason, millis(drain).max(1), message).into()
+    /// Refuses what has not run and may be sent again after about `retry_after`.
+    pub(super) fn later(
+        reason: Reason,
+        retry_after: Duration,
+        message: impl Into<Box<str>>,
+    ) -> Self {
+        Refusal::not_run(reason, millis(retry_after).max(1), message).into()
     }
 
     /// Refuses a body that exceeds the limit.
@@ -88,9 +92,9 @@
     if refusal.retry_after_ms == 0 {
         return;
     }
-    let drain = Duration::from_millis(refusal.retry_after_ms.into());
+    let retry_after = Duration::from_millis(refusal.retry_after_ms.into());
     let hash = (id.0 >> 64) as u64 ^ id.0 as u64;
-    refusal.retry_after_ms = millis(backoff::retry_after(drain, hash));
+    refusal.retry_after_ms = millis(backoff::retry_after(retry_after, hash));
 }
 
 pub(super) fn millis(time: Duration) -> u32 {
--- a/crates/stair-entry/src/traffic/request.rs
+++ b/crates/stair-entry/src/traffic/request.rs
@@ -31,11 +31,11 @@
 use super::{
     Cx,
     admit::Admitted,
-    auth::Who,
+    auth::Identity,
     body,
     headers::{
         self,
-        Wishes, //
+        RequestOptions, //
     },
     refuse::Refused,
     route::Route,
@@ -86,13 +86,13 @@
     id: RequestId,
     received: Instant,
     route: Route,
-    who: &Who,
+    identity: &Identity,
     req: hyper::Request<Incoming>,
 ) -> Result<(Request, Admitted), Refused> {
     let (head, incoming) = req.into_parts();
-    let wishes = headers::wishes(&head.headers)?;
+    let options = headers::options(&head.headers)?;
     let limit = u64::from(cx.limits.max_body_bytes);
-    let expected = wishes
+    let expected = options
         .content_length
         .unwrap_or(match incoming_is_empty(&incoming) {
             true => 0,
@@ -102,29 +102,29 @@
         return Err(Refused::too_large(cx.limits.max_body_bytes));
     }
     let tiers = view.catalogue.tiers.len();
-    let mut admitted = cx.gate.admit(who.rank, tiers, expected)?;
+    let mut admitted = cx.gate.admit(identity.rank, tiers, expected)?;
     let body = body::read(incoming, &cx.limits).await?;
-    admitted.shrink(body.len() as u64);
+    admitted.release_unused(body.len() as u64);
     let target = match route {
         Route::Service { name, path } => service(&view.catalogue, &head.method, &name, path)?,
         _ => inference(&view.catalogue, head.uri.path(), &body)?,
     };
-    let timeout = timeout(&wishes, who, cx.limits.max_timeout_ms);
+    let timeout = timeout(&options, identity, cx.limits.max_timeout_ms);
     let req = Request {
         id,
-        caller: who.name.clone(),
-        tier: who.tier.clone(),
-        rank: who.rank,
+        caller: identity.name.clone(),
+        tier: identity.tier.clone(),
+        rank: identity.rank,
         work: target.work,
         method: head.method.as_str().into(),
         path: target.path,
         prefix_hash: target.prefix_hash,
         body,
         max_tokens: target.max_tokens,
-        repeatable: wishes.repeatable.unwrap_or(target.repeatable),
-        content_type: wishes.content_type,
-        headers: headers::passed_on(&head.headers),
-        idempotency_key: wishes.idempotency_key,
+        repeatable: options.repeatable.unwrap_or(target.repeatable),
+        content_type: options.content_type,
+        headers: headers::forwarded(&head.headers),
+        idempotency_key: options.idempotency_key,
         received,
         deadline: received + timeout,
     };
@@ -135,8 +135,11 @@
     hyper::body::Body::is_end_stream(incoming)
 }
 
-fn timeout(wishes: &Wishes, who: &Who, max_ms: u32) -> Duration {
-    let ms = wishes.timeout_ms.unwrap_or(who.timeout_ms).min(max_ms);
+fn timeout(options: &RequestOptions, identity: &Identity, max_ms: u32) -> Duration {
+    let ms = options
+        .timeout_ms
+        .unwrap_or(identity.timeout_ms)
+        .min(max_ms);
     Duration::from_millis(ms.into())
 }
 
--- a/crates/stair-entry/src/traffic/answer.rs
+++ b/crates/stair-entry/src/traffic/response.rs
@@ -42,31 +42,33 @@
     loop {
         match exchange.read().await {
             Ok(frame) => {
-                resume.got_frame();
-                if take(cx, req, exchange, caller, &mut received, frame).await? == Step::Whole {
+                resume.reset();
+                if handle_frame(cx, req, exchange, caller, &mut received, frame).await?
+                    == Stream::Complete
+                {
                     return caller.end().await;
                 }
             }
             Err(Error::Io(_)) => resume.resume(cx, req, exchange, received).await?,
-            Err(e) => return Err(broken(&format!("the target's agent sent nonsense: {e}"))),
+            Err(e) => return Err(malformed(&format!("the target's agent sent nonsense: {e}"))),
         }
     }
 }
 
 #[derive(PartialEq, Eq)]
-enum Step {
-    Goes,
-    Whole,
+enum Stream {
+    Open,
+    Complete,
 }
 
-async fn take<S>(
+async fn handle_frame<S>(
     cx: &Cx<S>,
     req: &Request,
     exchange: &mut Exchange,
     caller: &mut Caller,
     received: &mut u64,
     frame: Frame<FromAgent>,
-) -> Result<Step, Refusal> {
+) -> Result<Stream, Refusal> {
     match frame {
         Frame::Body(bytes) => body(caller, received, bytes).await?,
         Frame::Message(FromAgent::Head {
@@ -75,62 +77,63 @@
             headers,
             offset,
         }) => {
-            observe(cx, req, exchange, caller);
+            record_latency(cx, req, exchange, caller);
             if offset != *received {
                 // Bytes that were skipped or come twice would reach the caller as a whole answer.
-                return Err(broken("the answer goes on at the wrong place"));
+                return Err(malformed("the answer goes on at the wrong place"));
             }
-            if !caller.has_begun() {
+            if !caller.has_head() {
                 caller.begin(status, &content_type, &headers);
             }
         }
         Frame::Message(FromAgent::End {
             total_bytes, load, ..
         }) => {
-            offer::report(req, &exchange.target, load);
-            exchange.over();
+            offer::record_load(req, &exchange.target, load);
+            exchange.finish();
             return end(caller, *received, total_bytes);
         }
         Frame::Message(FromAgent::Refused { refusal, load }) => {
-            offer::report(req, &exchange.target, load);
-            exchange.over();
+            offer::record_load(req, &exchange.target, load);
+            exchange.finish();
             return Err(refusal);
         }
         Frame::Message(FromAgent::Queued { load, .. }) => {
-            offer::report(req, &exchange.target, load);
+            offer::record_load(req, &exchange.target, load);
         }
         // An agent that starts by itself says so all the same.
         Frame::Message(FromAgent::Ready) => exchange.started_at = Some(Instant::now()),
     }
-    Ok(Step::Goes)
+    Ok(Stream::Open)
 }
 
 /// Compares the target's time to its first byte with that of the others.
-fn observe<S>(cx: &Cx<S>, req: &Request, exchange: &mut Exchange, caller: &Caller) {
-    if !caller.has_begun() {
+fn record_latency<S>(cx: &Cx<S>, req: &Request, exchange: &mut Exchange, caller: &Caller) {
+    if !caller.has_head() {
         cx.metrics
             .latency(Latency::FirstByte, req.received.elapsed());
     }
     if let Some(at) = exchange.started_at.take() {
-        cx.targets.answered(&exchange.target.target, at.elapsed());
+        cx.targets
+            .record_first_byte(&exchange.target.target, at.elapsed());
     }
 }
 
 async fn body(caller: &mut Caller, received: &mut u64, bytes: Bytes) -> Result<(), Refusal> {
-    if !caller.has_begun() {
-        return Err(broken("the answer has no head"));
+    if !caller.has_head() {
+        return Err(malformed("the answer has no head"));
     }
     *received += bytes.len() as u64;
     caller.push(bytes).await
 }
 
-fn end(caller: &Caller, received: u64, total: u64) -> Result<Step, Refusal> {
-    if !caller.has_begun() || received != total {
-        return Err(broken("the answer is not whole"));
+fn end(caller: &Caller, received: u64, total: u64) -> Result<Stream, Refusal> {
+    if !caller.has_head() || received != total {
+        return Err(malformed("the answer is not whole"));
     }
-    Ok(Step::Whole)
+    Ok(Stream::Complete)
 }
 
-fn broken(message: &str) -> Refusal {
+fn malformed(message: &str) -> Refusal {
     Refusal::may_have_run(Reason::LinkLost, 0, message)
 }
--- a/crates/stair-entry/src/traffic/resume.rs
+++ b/crates/stair-entry/src/traffic/resume.rs
@@ -29,10 +29,10 @@
 
 /// Time for taking a request up again. The agent keeps an answer for ten seconds, and less is left
 /// by the time the loss is noticed.
-const RESUME_TIME: Duration = Duration::from_secs(8);
+const RESUME_TIMEOUT: Duration = Duration::from_secs(8);
 
 /// Time between two attempts, so that a target that refuses connections is not flooded.
-const PAUSE: Duration = Duration::from_millis(50);
+const RETRY_DELAY: Duration = Duration::from_millis(50);
 
 /// The attempts to take one request up again.
 #[derive(Default)]
@@ -42,7 +42,7 @@
 
 impl Resume {
     /// Notes that the stream works.
-    pub(super) fn got_frame(&mut self) {
+    pub(super) fn reset(&mut self) {
         self.until = None;
     }
 
@@ -58,25 +58,25 @@
         exchange: &mut Exchange,
         received: u64,
     ) -> Result<(), Refusal> {
-        cx.targets.failed(&exchange.target.target);
+        cx.targets.record_failure(&exchange.target.target);
         let is_first = self.until.is_none();
         let name = &exchange.target.name;
         warn!(Part::Links, "request {} lost its link to {name}", req.id);
         let until = *self
             .until
-            .get_or_insert_with(|| Instant::now() + RESUME_TIME);
+            .get_or_insert_with(|| Instant::now() + RESUME_TIMEOUT);
         if !is_first {
-            sleep(PAUSE).await;
+            sleep(RETRY_DELAY).await;
         }
         while Instant::now() < until {
             if is_replaced(cx, exchange) {
                 return Err(lost("the target was replaced during the run"));
             }
-            let attempt = once(cx, exchange, received);
+            let attempt = resume_once(cx, exchange, received);
             if let Ok(Ok(())) = timeout_at(until, attempt).await {
                 return Ok(());
             }
-            sleep(PAUSE).await;
+            sleep(RETRY_DELAY).await;
         }
         Err(lost("the link to the target could not be replaced"))
     }
@@ -87,7 +87,7 @@
 /// # Errors
 ///
 /// Fails when no link to the agent can be opened.
-pub(super) async fn once<S>(
+pub(super) async fn resume_once<S>(
     cx: &Cx<S>,
     exchange: &mut Exchange,
     received: u64,
--- a/crates/stair-entry/src/traffic/route.rs
+++ b/crates/stair-entry/src/traffic/route.rs
@@ -52,7 +52,7 @@
     let (name, path) = rest.split_at(end);
     // The declared prefix of a path decides whether a call may be repeated. A path that climbs out
     // of its prefix would be repeated although it may not.
-    if req.uri().path().split('/').any(climbs) {
+    if req.uri().path().split('/').any(is_parent_segment) {
         return Err(Refused::new(
             Reason::Invalid,
             "a path must not contain '..' segments",
@@ -68,6 +68,6 @@
     })
 }
 
-fn climbs(segment: &str) -> bool {
+fn is_parent_segment(segment: &str) -> bool {
     segment.len() <= 6 && segment.to_ascii_lowercase().replace("%2e", ".") == ".."
 }
--- a/crates/stair-entry/src/traffic/run.rs
+++ b/crates/stair-entry/src/traffic/run.rs
@@ -29,18 +29,18 @@
 
 /// How far a request has come, as far as its verdict depends on it.
 pub(super) struct Progress {
-    pub(super) place: Admitted,
+    pub(super) admitted: Admitted,
     /// `Start` may have been sent to the present target, which has not said that it never ran.
     pub(super) started: bool,
     /// An earlier target may have run it.
-    pub(super) doubtful: bool,
+    pub(super) earlier_may_have_run: bool,
     /// The idempotency key may be claimed for this request.
     pub(super) claimed: bool,
 }
 
 impl Progress {
     fn may_have_run(&self) -> bool {
-        self.started || self.doubtful
+        self.started || self.earlier_may_have_run
     }
 }
 
@@ -48,33 +48,33 @@
 ///
 /// A caller that leaves drops the handler of its request at any point. The task outlives it, so
 /// that the request is withdrawn at its agent and its claim is given back.
-pub(super) async fn spawn<S>(cx: Arc<Cx<S>>, req: Request, place: Admitted) -> Response<Body>
+pub(super) async fn spawn<S>(cx: Arc<Cx<S>>, req: Request, admitted: Admitted) -> Response<Body>
 where
     S: ObjectStore,
 {
-    let (caller, waiting) = caller::pair(&cx.limits, req.id);
-    tokio::spawn(run(cx, req, place, caller));
-    waiting.response().await
+    let (caller, receiver) = caller::pair(&cx.limits, req.id);
+    tokio::spawn(run(cx, req, admitted, caller));
+    receiver.response().await
 }
 
-async fn run<S>(cx: Arc<Cx<S>>, req: Request, place: Admitted, mut caller: Caller)
+async fn run<S>(cx: Arc<Cx<S>>, req: Request, admitted: Admitted, mut caller: Caller)
 where
     S: ObjectStore,
 {
     let mut progress = Progress {
-        place,
+        admitted,
         started: false,
-        doubtful: false,
+        earlier_may_have_run: false,
         claimed: false,
     };
-    let gone = caller.gone();
+    let disconnected = caller.disconnected();
     // Whatever ends the wait first drops the stream to the agent, which withdraws the request
     // there.
     let result = tokio::select! {
         biased;
         result = dispatch::dispatch(&cx, &req, &mut caller, &mut progress) => result,
-        () = gone => Err(withdrawn()),
-        () = tokio::time::sleep_until(req.deadline) => Err(too_late()),
+        () = disconnected => Err(withdrawn()),
+        () = tokio::time::sleep_until(req.deadline) => Err(deadline_passed()),
     };
     cx.metrics.latency(Latency::Whole, req.received.elapsed());
     let Err(mut refusal) = result else {
@@ -106,6 +106,6 @@
     Refusal::not_run(Reason::Withdrawn, 0, "the caller left")
 }
 
-fn too_late() -> Refusal {
+fn deadline_passed() -> Refusal {
     Refusal::not_run(Reason::DeadlinePassed, RETRY_MS, "the deadline passed")
 }
--- a/crates/stair-entry/src/traffic/shard.rs
+++ b/crates/stair-entry/src/traffic/shard.rs
@@ -17,7 +17,7 @@
         /// The claim.
         claim: Claim,
         /// A claim of another request that has surely not run, whose place it takes.
-        instead_of: Option<Claim>,
+        replaces: Option<Claim>,
     },
     /// Give a claim back.
     Release {
@@ -61,7 +61,7 @@
 
 fn apply_one(shard: &mut ClaimShard, change: &Change) -> Outcome {
     match change {
-        Change::Claim { claim, instead_of } => add(shard, claim, instead_of.as_ref()),
+        Change::Claim { claim, replaces } => add(shard, claim, replaces.as_ref()),
         Change::Release { key, request } => {
             shard
                 .claims
@@ -71,12 +71,12 @@
     }
 }
 
-fn add(shard: &mut ClaimShard, claim: &Claim, instead_of: Option<&Claim>) -> Outcome {
+fn add(shard: &mut ClaimShard, claim: &Claim, replaces: Option<&Claim>) -> Outcome {
     match shard.claims.binary_search_by(|c| c.key.cmp(&claim.key)) {
         Ok(i) if is_same(&shard.claims[i], claim) => Outcome::Done,
         Ok(i) => {
             let held = &mut shard.claims[i];
-            if held.request != claim.request && Some(&*held) != instead_of {
+            if held.request != claim.request && Some(&*held) != replaces {
                 return Outcome::Taken(held.clone());
             }
             *held = claim.clone();
--- a/crates/stair-entry/src/traffic/start.rs
+++ b/crates/stair-entry/src/traffic/start.rs
@@ -17,10 +17,10 @@
 
 use super::{
     Cx,
+    abandoned,
     admit::Phase,
     claim,
     exchange::Exchange,
-    left_behind,
     offer,
     refuse,
     request::Request,
@@ -47,7 +47,7 @@
 {
     ready(req, exchange, progress).await?;
     if req.key_to_claim().is_some() {
-        progress.place.enter(Phase::Claiming);
+        progress.admitted.set_phase(Phase::Claiming);
         progress.claimed = true;
         claim(cx, req, exchange).await.map_err(refusal)?;
     }
@@ -65,7 +65,7 @@
     S: ObjectStore,
 {
     match cx.claims.claim(req, exchange, None).await {
-        Err(claim::Error::Duplicate(other)) if left_behind::has_not_run(cx, &other).await => {
+        Err(claim::Error::Duplicate(other)) if abandoned::has_not_run(cx, &other).await => {
             cx.claims.claim(req, exchange, Some(other)).await
         }
         result => result,
@@ -77,11 +77,11 @@
         match exchange.read().await {
             Ok(Frame::Message(FromAgent::Ready)) => return Ok(()),
             Ok(Frame::Message(FromAgent::Queued { load, .. })) => {
-                offer::report(req, &exchange.target, load);
+                offer::record_load(req, &exchange.target, load);
             }
             Ok(Frame::Message(FromAgent::Refused { refusal, load })) => {
-                offer::report(req, &exchange.target, load);
-                exchange.over();
+                offer::record_load(req, &exchange.target, load);
+                exchange.finish();
                 return Err(refusal);
             }
             Ok(_) | Err(_) => {
@@ -96,7 +96,7 @@
         // The other request with this key may be running, may have run, or may be refused yet.
         claim::Error::Duplicate(other) => Refusal::may_have_run(
             Reason::Duplicate,
-            refuse::millis(left_behind::ask_in(&other)),
+            refuse::millis(abandoned::retry_after(&other)),
             "the idempotency key was used before; that request may have run",
         ),
         claim::Error::Full => Refusal::not_run(
--- a/crates/stair-entry/src/traffic/targets.rs
+++ b/crates/stair-entry/src/traffic/targets.rs
@@ -28,20 +28,20 @@
 
 /// A target to which no link could be opened comes last for so long: a request that tries it waits
 /// for the whole time of an attempt.
-const AVOID_FOR: Duration = Duration::from_secs(1);
+const UNREACHABLE_TTL: Duration = Duration::from_secs(1);
 
 /// A target that refused because its VM is leaving is not asked again for so long. A VM that is
 /// told to stay after all, or a lagging list that speaks of an earlier VM of the same name, shows
 /// by the next request after that; the refusal costs that request a round trip.
-const LEAVING_FOR: Duration = Duration::from_secs(10);
+const LEAVING_TTL: Duration = Duration::from_secs(10);
 
 /// Targets not heard of for long are swept when this many have been added.
-const SWEEP_AT: usize = 256;
+const TARGETS_PER_SWEEP: usize = 256;
 
 /// All targets that this entry has dealt with.
 pub(super) struct Targets {
     list: RwLock<List>,
-    shift: Mutex<Shift>,
+    weights: Mutex<Shift>,
 }
 
 #[derive(Default)]
@@ -67,19 +67,19 @@
     /// Sorted by name.
     models: Vec<Loaded>,
     leaving: Option<Leaving>,
-    unreached: Option<Instant>,
+    unreachable_since: Option<Instant>,
 }
 
 /// An incarnation of the agent said that it is leaving.
 #[derive(Clone, Copy)]
 struct Leaving {
     token: FencingToken,
-    said: Instant,
+    since: Instant,
 }
 
 impl State {
     fn leaving(&self) -> Option<FencingToken> {
-        let leaving = self.leaving.filter(|l| l.said.elapsed() < LEAVING_FOR);
+        let leaving = self.leaving.filter(|l| l.since.elapsed() < LEAVING_TTL);
         leaving.map(|l| l.token)
     }
 }
@@ -91,7 +91,7 @@
 
 /// What is known of a target at a moment.
 #[derive(Debug, Clone, Copy)]
-pub(super) struct Known {
+pub(super) struct TargetStats {
     pub(super) expected_wait: Duration,
     pub(super) report_age: Duration,
     pub(super) in_flight: u16,
@@ -102,7 +102,7 @@
 
 /// What an operator sees of a target.
 #[derive(Debug, Clone, Serialize)]
-pub(super) struct Seen {
+pub(super) struct TargetDump {
     name: TargetName,
     load: Load,
     report_age_ms: Option<u64>,
@@ -115,7 +115,7 @@
     fn default() -> Self {
         Self {
             list: RwLock::default(),
-            shift: Mutex::new(Shift::new(shift::Options::default())),
+            weights: Mutex::new(Shift::new(shift::Options::default())),
         }
     }
 }
@@ -132,34 +132,34 @@
     }
 
     /// Returns what is known of a target, for a request to a model.
-    pub(super) fn known(&self, name: &TargetName, model: Option<&ModelName>) -> Known {
+    pub(super) fn stats(&self, name: &TargetName, model: Option<&ModelName>) -> TargetStats {
         let target = self.get(name);
-        let weight = self.shift().weight(target.key);
-        target.known(model, weight)
+        let weight = self.weights().weight(target.key);
+        target.stats(model, weight)
     }
 
     /// Notes that a target began its answer so long after it was started.
-    pub(super) fn answered(&self, target: &Target, latency: Duration) {
-        let mut shift = self.shift();
-        shift.observe(target.key, latency, Outcome::Answered);
+    pub(super) fn record_first_byte(&self, target: &Target, latency: Duration) {
+        let mut weights = self.weights();
+        weights.observe(target.key, latency, Outcome::Answered);
     }
 
     /// Notes that a target could not be reached, its link broke or its engine failed.
-    pub(super) fn failed(&self, target: &Target) {
-        let mut shift = self.shift();
-        shift.observe(target.key, Duration::ZERO, Outcome::Failed);
+    pub(super) fn record_failure(&self, target: &Target) {
+        let mut weights = self.weights();
+        weights.observe(target.key, Duration::ZERO, Outcome::Failed);
     }
 
-    pub(super) fn snapshot(&self) -> Vec<Seen> {
+    pub(super) fn snapshot(&self) -> Vec<TargetDump> {
         let list = self.list.read().unwrap_or_else(PoisonError::into_inner);
-        let shift = self.shift();
+        let weights = self.weights();
         let all = list.all.iter();
-        all.map(|t| t.seen(shift.weight(t.key))).collect()
+        all.map(|t| t.dump(weights.weight(t.key))).collect()
     }
 
     fn add(&self, name: &TargetName) -> Arc<Target> {
         let mut list = self.list.write().unwrap_or_else(PoisonError::into_inner);
-        if list.all.len() % SWEEP_AT == SWEEP_AT - 1 {
+        if list.all.len() % TARGETS_PER_SWEEP == TARGETS_PER_SWEEP - 1 {
             self.sweep(&mut list.all);
         }
         match list.all.binary_search_by(|t| t.name.cmp(name)) {
@@ -175,18 +175,18 @@
     }
 
     fn sweep(&self, all: &mut Vec<Arc<Target>>) {
-        let mut shift = self.shift();
+        let mut weights = self.weights();
         all.retain(|t| {
-            let keep = !t.is_forgettable();
+            let keep = !t.is_expired();
             if !keep {
-                shift.forget(t.key);
+                weights.forget(t.key);
             }
             keep
         });
     }
 
-    fn shift(&self) -> MutexGuard<'_, Shift> {
-        self.shift.lock().unwrap_or_else(PoisonError::into_inner)
+    fn weights(&self) -> MutexGuard<'_, Shift> {
+        self.weights.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
@@ -201,24 +201,24 @@
                 in_flight: 0,
                 models: Vec::new(),
                 leaving: None,
-                unreached: None,
+                unreachable_since: None,
             }),
         }
     }
 
-    fn known(&self, model: Option<&ModelName>, weight: f32) -> Known {
+    fn stats(&self, model: Option<&ModelName>, weight: f32) -> TargetStats {
         let state = self.lock();
         let loaded = model.is_none_or(|m| {
             let at = state.models.binary_search_by(|l| l.model.cmp(m));
             at.is_ok_and(|i| state.models[i].loaded)
         });
-        Known {
+        TargetStats {
             expected_wait: Duration::from_millis(state.load.expected_wait_ms.into()),
             report_age: state.reported.map_or(Duration::MAX, |at| at.elapsed()),
             in_flight: state.in_flight,
             loaded,
-            weight: match state.unreached {
-                Some(at) if at.elapsed() < AVOID_FOR => 0.0,
+            weight: match state.unreachable_since {
+                Some(at) if at.elapsed() < UNREACHABLE_TTL => 0.0,
                 _ => weight,
             },
             leaving: state.leaving(),
@@ -226,11 +226,11 @@
     }
 
     /// Notes the load that came with a reply.
-    pub(super) fn report(&self, load: Load, model: Option<&ModelName>) {
+    pub(super) fn record_load(&self, load: Load, model: Option<&ModelName>) {
         let mut state = self.lock();
         state.load = load;
         state.reported = Some(Instant::now());
-        state.unreached = None;
+        state.unreachable_since = None;
         let Some(model) = model else {
             return;
         };
@@ -247,31 +247,31 @@
     }
 
     /// Notes that no link to the target could be opened.
-    pub(super) fn unreached(&self) {
-        self.lock().unreached = Some(Instant::now());
+    pub(super) fn mark_unreachable(&self) {
+        self.lock().unreachable_since = Some(Instant::now());
     }
 
     /// Notes that this incarnation of the agent said that it is leaving.
-    pub(super) fn leaves(&self, token: FencingToken) {
-        let said = Instant::now();
-        self.lock().leaving = Some(Leaving { token, said });
+    pub(super) fn mark_leaving(&self, token: FencingToken) {
+        let since = Instant::now();
+        self.lock().leaving = Some(Leaving { token, since });
     }
 
     /// Counts a request of this entry at the target until the mark is dropped.
-    pub(super) fn take(self: &Arc<Self>) -> InFlight {
+    pub(super) fn begin_request(self: &Arc<Self>) -> InFlight {
         let mut state = self.lock();
         state.in_flight = state.in_flight.saturating_add(1);
         InFlight(self.clone())
     }
 
-    fn is_forgettable(&self) -> bool {
+    fn is_expired(&self) -> bool {
         let state = self.lock();
-        state.in_flight == 0 && state.reported.is_none_or(|at| at.elapsed() > FORGET_AFTER)
+        state.in_flight == 0 && state.reported.is_none_or(|at| at.elapsed() > TARGET_TTL)
     }
 
-    fn seen(&self, weight: f32) -> Seen {
+    fn dump(&self, weight: f32) -> TargetDump {
         let state = self.lock();
-        Seen {
+        TargetDump {
             name: self.name.clone(),
             load: state.load,
             report_age_ms: state
@@ -289,7 +289,7 @@
 }
 
 /// A target without a reply for so long may have been replaced; what it said means nothing now.
-const FORGET_AFTER: Duration = Duration::from_secs(600);
+const TARGET_TTL: Duration = Duration::from_secs(600);
 
 /// Marks one request of this entry at a target.
 pub(super) struct InFlight(Arc<Target>);
--- a/crates/stair-entry/tests/claim_rules.rs
+++ b/crates/stair-entry/tests/claim_rules.rs
@@ -79,7 +79,7 @@
     place: Place,
     known: Option<(u64, ClaimShard)>,
     in_the_way: Option<Claim>,
-    instead_of: Option<Claim>,
+    replaces: Option<Claim>,
     doubtful: bool,
 }
 
@@ -116,7 +116,7 @@
             place: Place::Free,
             known: None,
             in_the_way: None,
-            instead_of: None,
+            replaces: None,
             doubtful: false,
         };
         Self {
@@ -150,7 +150,7 @@
                 };
                 let agent = &mut self.agents[index(&other.target)];
                 if agent.withdraw(NOW, other.request) == Phase::Withdrawn {
-                    self.requests[r].instead_of = Some(other);
+                    self.requests[r].replaces = Some(other);
                 }
             }
             Step::Start(r) => {
@@ -188,8 +188,8 @@
             incarnation: FencingToken(1),
             expires_s: 10,
         };
-        let instead_of = self.requests[r].instead_of.clone();
-        let change = Change::Claim { claim, instead_of };
+        let replaces = self.requests[r].replaces.clone();
+        let change = Change::Claim { claim, replaces };
         match self.write(r, &change, write) {
             Some(Outcome::Done) => self.requests[r].place = Place::Claimed(t),
             Some(Outcome::Taken(other)) => self.requests[r].in_the_way = Some(other),
