--- a/crates/stair-entry/tests/admit.rs
+++ b/crates/stair-entry/tests/admit.rs
@@ -24,7 +24,7 @@
 // Callers of the lower tier fill the entry while the targets are full. A caller of the better tier
 // must still get in; one more of the lower tier is told at once to come back.
 #[tokio::test]
-async fn better_tier_enters() {
+async fn better_tier_admitted() {
     let keys = keys();
     let mut agent = FakeAgent::start("t1", &keys, Session::hold);
     let limits = EntryLimits {
@@ -35,18 +35,18 @@
     let rig = Arc::new(rig);
     for _ in 0..6 {
         let rig = rig.clone();
-        tokio::spawn(async move { rig.ask(BRONZE, BILLED, &[]).await });
+        tokio::spawn(async move { rig.post(BRONZE, BILLED, &[]).await });
         assert_eq!(agent.next().await, Event::Offered);
     }
 
-    let refused = rig.ask(BRONZE, BILLED, &[]).await;
+    let refused = rig.post(BRONZE, BILLED, &[]).await;
     assert_eq!(refused.status.as_u16(), 429);
     assert_eq!(refused.code(), "queue-full");
     assert_eq!(&*refused.verdict, "not-run");
     assert!(refused.retry_after.is_some());
 
     let better = rig.clone();
-    tokio::spawn(async move { better.ask(GOLD, BILLED, &[]).await });
+    tokio::spawn(async move { better.post(GOLD, BILLED, &[]).await });
     assert_eq!(agent.next().await, Event::Offered);
     let dump = rig.traffic.dump();
     assert_eq!(dump["in_entry"]["requests"], 7);
@@ -66,11 +66,11 @@
     let rig = Arc::new(rig);
     for _ in 0..3 {
         let rig = rig.clone();
-        tokio::spawn(async move { rig.ask(GOLD, BILLED, &[]).await });
+        tokio::spawn(async move { rig.post(GOLD, BILLED, &[]).await });
         assert_eq!(agent.next().await, Event::Offered);
     }
 
-    let refused = rig.ask(GOLD, BILLED, &[]).await;
+    let refused = rig.post(GOLD, BILLED, &[]).await;
 
     assert_eq!(refused.code(), "queue-full");
 }
--- a/crates/stair-entry/tests/claim_rules.rs
+++ b/crates/stair-entry/tests/claim_rules.rs
@@ -44,7 +44,7 @@
     /// Writes the claim; the platform's answer may be lost, and the write be late.
     Claim(usize, Write),
     /// Asks the agent that the other request's claim names.
-    Ask(usize),
+    Withdraw(usize),
     /// Sends the start.
     Start(usize),
     /// Takes the request up again, which withdraws it if it has not started.
@@ -57,14 +57,14 @@
 
 #[derive(Debug, Clone, Copy)]
 enum Write {
-    Answered,
+    Confirmed,
     LostAfterEffect,
     LostAndLate,
 }
 
 /// Which place a request has come to.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Place {
+enum Stage {
     Free,
     Offered(usize),
     /// The platform has confirmed the claim for this target.
@@ -76,16 +76,22 @@
 
 #[derive(Clone)]
 struct Request {
-    place: Place,
+    stage: Stage,
     known: Option<(u64, ClaimShard)>,
-    in_the_way: Option<Claim>,
+    blocking: Option<Claim>,
     replaces: Option<Claim>,
-    doubtful: bool,
+    unconfirmed: bool,
 }
 
 enum Message {
-    Start { request: usize, target: usize },
-    Put { seen: u64, value: ClaimShard },
+    Start {
+        request: usize,
+        target: usize,
+    },
+    Put {
+        read_version: u64,
+        value: ClaimShard,
+    },
 }
 
 struct World {
@@ -113,11 +119,11 @@
 impl World {
     fn new(claims_checked: bool) -> Self {
         let request = Request {
-            place: Place::Free,
+            stage: Stage::Free,
             known: None,
-            in_the_way: None,
+            blocking: None,
             replaces: None,
-            doubtful: false,
+            unconfirmed: false,
         };
         Self {
             version: 0,
@@ -130,22 +136,22 @@
         }
     }
 
-    fn take(&mut self, step: Step) {
+    fn apply(&mut self, step: Step) {
         match step {
             Step::Offer(r, t) => {
-                let is_free = self.requests[r].place == Place::Free;
+                let is_free = self.requests[r].stage == Stage::Free;
                 if is_free && self.agents[t].offer(NOW, id(r)) {
-                    self.requests[r].place = Place::Offered(t);
+                    self.requests[r].stage = Stage::Offered(t);
                 }
             }
             Step::Read(r) => self.requests[r].known = Some((self.version, self.claims.clone())),
             Step::ReadAndClaim(r) => {
-                self.take(Step::Read(r));
-                self.claim(r, Write::Answered);
+                self.apply(Step::Read(r));
+                self.claim(r, Write::Confirmed);
             }
             Step::Claim(r, write) => self.claim(r, write),
-            Step::Ask(r) => {
-                let Some(other) = self.requests[r].in_the_way.take() else {
+            Step::Withdraw(r) => {
+                let Some(other) = self.requests[r].blocking.take() else {
                     return;
                 };
                 let agent = &mut self.agents[index(&other.target)];
@@ -154,31 +160,31 @@
                 }
             }
             Step::Start(r) => {
-                let may_start = match self.requests[r].place {
-                    Place::Claimed(t) => Some(t),
-                    Place::Offered(t) if !self.claims_checked => Some(t),
+                let may_start = match self.requests[r].stage {
+                    Stage::Claimed(t) => Some(t),
+                    Stage::Offered(t) if !self.claims_checked => Some(t),
                     _ => None,
                 };
                 if let Some(target) = may_start {
-                    self.requests[r].place = Place::Sent(target);
+                    self.requests[r].stage = Stage::Sent(target);
                     self.messages.push(Message::Start { request: r, target });
                 }
             }
             Step::Resume(r) => {
-                let Place::Sent(t) = self.requests[r].place else {
+                let Stage::Sent(t) = self.requests[r].stage else {
                     return;
                 };
                 if self.agents[t].withdraw(NOW, id(r)) == Phase::Withdrawn {
-                    self.requests[r].place = Place::Free;
+                    self.requests[r].stage = Stage::Free;
                 }
             }
             Step::GiveUp(r, write) => self.give_up(r, write),
-            Step::Deliver(n, again) => self.deliver(n, again),
+            Step::Deliver(n, repeat) => self.deliver(n, repeat),
         }
     }
 
     fn claim(&mut self, r: usize, write: Write) {
-        let Place::Offered(t) = self.requests[r].place else {
+        let Stage::Offered(t) = self.requests[r].stage else {
             return;
         };
         let claim = Claim {
@@ -191,14 +197,14 @@
         let replaces = self.requests[r].replaces.clone();
         let change = Change::Claim { claim, replaces };
         match self.write(r, &change, write) {
-            Some(Outcome::Done) => self.requests[r].place = Place::Claimed(t),
-            Some(Outcome::Taken(other)) => self.requests[r].in_the_way = Some(other),
+            Some(Outcome::Done) => self.requests[r].stage = Stage::Claimed(t),
+            Some(Outcome::Taken(other)) => self.requests[r].blocking = Some(other),
             Some(Outcome::Full) | None => {}
         }
     }
 
     fn give_up(&mut self, r: usize, write: Write) {
-        let has_sent = matches!(self.requests[r].place, Place::Sent(_) | Place::GivenUp);
+        let has_sent = matches!(self.requests[r].stage, Stage::Sent(_) | Stage::GivenUp);
         if has_sent {
             return;
         }
@@ -206,46 +212,49 @@
             key: "k".into(),
             request: id(r),
         };
-        if let Place::Offered(t) | Place::Claimed(t) = self.requests[r].place {
+        if let Stage::Offered(t) | Stage::Claimed(t) = self.requests[r].stage {
             self.agents[t].withdraw(NOW, id(r));
         }
-        self.requests[r].place = Place::GivenUp;
+        self.requests[r].stage = Stage::GivenUp;
         self.write(r, &release, write);
     }
 
     /// Changes the shard as `claim.rs` does; `None` when it has to read first, or does not know.
     fn write(&mut self, r: usize, change: &Change, write: Write) -> Option<Outcome> {
-        let (seen, mut value) = self.requests[r].known.take()?;
+        let (read_version, mut value) = self.requests[r].known.take()?;
         let (outcomes, changed) = shard::apply(&mut value, std::slice::from_ref(change), 0);
         let outcome = outcomes.into_iter().next()?;
         if outcome != Outcome::Done {
             // Only what was just read counts.
-            return (seen == self.version).then_some(outcome);
+            return (read_version == self.version).then_some(outcome);
         }
-        if !changed && !self.requests[r].doubtful {
+        if !changed && !self.requests[r].unconfirmed {
             return Some(outcome);
         }
         match write {
             Write::LostAndLate => {
-                self.requests[r].doubtful = true;
-                self.messages.push(Message::Put { seen, value });
+                self.requests[r].unconfirmed = true;
+                self.messages.push(Message::Put {
+                    read_version,
+                    value,
+                });
                 None
             }
             Write::LostAfterEffect => {
-                self.requests[r].doubtful = true;
-                self.put(seen, value);
+                self.requests[r].unconfirmed = true;
+                self.put(read_version, value);
                 None
             }
-            Write::Answered if self.put(seen, value) => {
-                self.requests[r].doubtful = false;
+            Write::Confirmed if self.put(read_version, value) => {
+                self.requests[r].unconfirmed = false;
                 Some(outcome)
             }
-            Write::Answered => None,
+            Write::Confirmed => None,
         }
     }
 
-    fn put(&mut self, seen: u64, value: ClaimShard) -> bool {
-        if seen != self.version {
+    fn put(&mut self, read_version: u64, value: ClaimShard) -> bool {
+        if read_version != self.version {
             return false;
         }
         self.version += 1;
@@ -253,7 +262,7 @@
         true
     }
 
-    fn deliver(&mut self, n: usize, again: bool) {
+    fn deliver(&mut self, n: usize, repeat: bool) {
         if self.messages.is_empty() {
             return;
         }
@@ -261,11 +270,14 @@
         match self.messages.swap_remove(n) {
             Message::Start { request, target } => {
                 self.runs[request] += usize::from(self.agents[target].start(id(request)));
-                if again {
+                if repeat {
                     self.messages.push(Message::Start { request, target });
                 }
             }
-            Message::Put { seen, value } => drop(self.put(seen, value)),
+            Message::Put {
+                read_version,
+                value,
+            } => drop(self.put(read_version, value)),
         }
     }
 
@@ -276,7 +288,7 @@
 
 fn write() -> impl Strategy<Value = Write> {
     prop_oneof![
-        6 => Just(Write::Answered),
+        6 => Just(Write::Confirmed),
         1 => Just(Write::LostAfterEffect),
         1 => Just(Write::LostAndLate),
     ]
@@ -289,11 +301,11 @@
         2 => r.clone().prop_map(Step::Read),
         5 => r.clone().prop_map(Step::ReadAndClaim),
         4 => (r.clone(), write()).prop_map(|(r, w)| Step::Claim(r, w)),
-        3 => r.clone().prop_map(Step::Ask),
+        3 => r.clone().prop_map(Step::Withdraw),
         3 => r.clone().prop_map(Step::Start),
         2 => r.clone().prop_map(Step::Resume),
         1 => (r, write()).prop_map(|(r, w)| Step::GiveUp(r, w)),
-        4 => (0..8_usize, any::<bool>()).prop_map(|(n, again)| Step::Deliver(n, again)),
+        4 => (0..8_usize, any::<bool>()).prop_map(|(n, repeat)| Step::Deliver(n, repeat)),
     ]
 }
 
@@ -315,11 +327,11 @@
     fn one_run(steps in prop::collection::vec(step(), 1..150)) {
         let mut world = World::new(true);
         for step in steps {
-            world.take(step);
+            world.apply(step);
             prop_assert!(world.all_runs() <= 1, "{step:?}: the key ran twice");
             for (request, runs) in world.requests.iter().zip(&world.runs) {
-                let told_not_run = request.place == Place::GivenUp;
-                prop_assert!(!told_not_run || *runs == 0, "not run, but it ran");
+                let reported_not_run = request.stage == Stage::GivenUp;
+                prop_assert!(!reported_not_run || *runs == 0, "not run, but it ran");
             }
         }
     }
@@ -331,11 +343,11 @@
     let mut world = World::new(false);
 
     for r in 0..2 {
-        world.take(Step::Offer(r, r));
-        world.take(Step::Start(r));
+        world.apply(Step::Offer(r, r));
+        world.apply(Step::Start(r));
     }
     for _ in 0..2 {
-        world.take(Step::Deliver(0, false));
+        world.apply(Step::Deliver(0, false));
     }
 
     assert_eq!(world.all_runs(), 2);
@@ -344,20 +356,20 @@
 // An entry dies after its claim. The repeat takes over, and the dead entry's start, which the
 // network had held back, comes in the end.
 #[test]
-fn left_claim_taken_over() {
+fn abandoned_claim_replaced() {
     let mut world = World::new(true);
-    world.take(Step::Offer(0, 0));
-    world.take(Step::ReadAndClaim(0));
-    world.take(Step::Start(0));
-
-    world.take(Step::Offer(1, 1));
-    world.take(Step::ReadAndClaim(1));
-    world.take(Step::Ask(1));
-    world.take(Step::ReadAndClaim(1));
-    world.take(Step::Start(1));
-    world.take(Step::Deliver(0, true));
-    world.take(Step::Deliver(0, false));
-    world.take(Step::Deliver(0, false));
+    world.apply(Step::Offer(0, 0));
+    world.apply(Step::ReadAndClaim(0));
+    world.apply(Step::Start(0));
+
+    world.apply(Step::Offer(1, 1));
+    world.apply(Step::ReadAndClaim(1));
+    world.apply(Step::Withdraw(1));
+    world.apply(Step::ReadAndClaim(1));
+    world.apply(Step::Start(1));
+    world.apply(Step::Deliver(0, true));
+    world.apply(Step::Deliver(0, false));
+    world.apply(Step::Deliver(0, false));
 
     assert_eq!(world.runs, [0, 1, 0]);
 }
@@ -367,21 +379,21 @@
 #[test]
 fn moved_claim_kept() {
     let mut world = World::new(true);
-    world.take(Step::Offer(0, 0));
-    world.take(Step::ReadAndClaim(0));
-    world.take(Step::Start(0));
-    world.take(Step::Offer(1, 1));
-    world.take(Step::ReadAndClaim(1));
-    world.take(Step::Ask(1));
-
-    world.take(Step::Resume(0));
-    world.take(Step::Offer(0, 1));
-    world.take(Step::ReadAndClaim(0));
-    world.take(Step::Start(0));
-    world.take(Step::ReadAndClaim(1));
-    world.take(Step::Start(1));
+    world.apply(Step::Offer(0, 0));
+    world.apply(Step::ReadAndClaim(0));
+    world.apply(Step::Start(0));
+    world.apply(Step::Offer(1, 1));
+    world.apply(Step::ReadAndClaim(1));
+    world.apply(Step::Withdraw(1));
+
+    world.apply(Step::Resume(0));
+    world.apply(Step::Offer(0, 1));
+    world.apply(Step::ReadAndClaim(0));
+    world.apply(Step::Start(0));
+    world.apply(Step::ReadAndClaim(1));
+    world.apply(Step::Start(1));
     for _ in 0..3 {
-        world.take(Step::Deliver(0, false));
+        world.apply(Step::Deliver(0, false));
     }
 
     assert_eq!(world.runs, [1, 0, 0]);
--- a/crates/stair-entry/tests/claims.rs
+++ b/crates/stair-entry/tests/claims.rs
@@ -20,13 +20,13 @@
         FakeAgent,
         Session, //
     },
+    in_time,
     rig::{
         BILLED,
         GOLD,
         Rig,
         keys, //
     },
-    soon,
 };
 
 const KEY: &[(&str, &str)] = &[("idempotency-key", "draft-1")];
@@ -42,8 +42,8 @@
     let one = Rig::with(&keys, &[&agent], limits.clone(), store.clone()).await;
     let other = Rig::with(&keys, &[&agent], limits, store).await;
 
-    let first = one.ask(GOLD, BILLED, KEY).await;
-    let second = other.ask(GOLD, BILLED, KEY).await;
+    let first = one.post(GOLD, BILLED, KEY).await;
+    let second = other.post(GOLD, BILLED, KEY).await;
 
     assert_eq!(first.status.as_u16(), 200);
     assert_eq!(second.status.as_u16(), 409);
@@ -65,7 +65,7 @@
     let rig = Rig::start(&keys, &[&agent]).await;
     rig.store.set_down(true);
 
-    let got = rig.ask(GOLD, BILLED, KEY).await;
+    let got = rig.post(GOLD, BILLED, KEY).await;
 
     assert_eq!(got.status.as_u16(), 503);
     assert_eq!(got.code(), "platform-down");
@@ -84,7 +84,7 @@
     let rig = Rig::start(&keys, &[&agent]).await;
     rig.store.set_stuck(true);
 
-    let got = rig.ask(GOLD, BILLED, KEY).await;
+    let got = rig.post(GOLD, BILLED, KEY).await;
 
     assert_eq!(got.code(), "platform-down");
     assert_eq!(&*got.verdict, "not-run");
@@ -95,13 +95,13 @@
 // The platform stores the claim and its answer is lost. Taking that for a failure would refuse a
 // caller whose key is then used up without a run.
 #[tokio::test]
-async fn lost_answer_settled() {
+async fn lost_reply_resolved() {
     let keys = keys();
     let agent = FakeAgent::start("t1", &keys, |s| s.serve("{}"));
     let rig = Rig::start(&keys, &[&agent]).await;
     rig.store.fail_write(Kind::Claims, Fault::LostAfter);
 
-    let got = rig.ask(GOLD, BILLED, KEY).await;
+    let got = rig.post(GOLD, BILLED, KEY).await;
 
     assert_eq!(got.status.as_u16(), 200);
     assert_eq!(rig.claims(), 1);
@@ -120,10 +120,10 @@
     });
     let rig = Rig::start(&keys, &[&agent]).await;
 
-    let got = rig.ask(GOLD, BILLED, KEY).await;
+    let got = rig.post(GOLD, BILLED, KEY).await;
 
     assert_eq!(&*got.verdict, "not-run");
-    soon(async {
+    in_time(async {
         while rig.claims() > 0 {
             tokio::task::yield_now().await;
         }
@@ -146,7 +146,7 @@
         tasks.spawn(async move {
             let key = format!("k{i}");
             let headers = [("idempotency-key", key.as_str())];
-            rig.ask(GOLD, BILLED, &headers).await.status.as_u16()
+            rig.post(GOLD, BILLED, &headers).await.status.as_u16()
         });
     }
     let all = tasks.join_all().await;
--- a/crates/stair-entry/tests/control_load_slots.rs
+++ b/crates/stair-entry/tests/control_load_slots.rs
@@ -10,7 +10,7 @@
     timeout, //
 };
 
-const SOON: Duration = Duration::from_millis(1);
+const SHORT: Duration = Duration::from_millis(1);
 const LONG: Duration = Duration::from_secs(3600);
 const TIME_LEFT: Duration = Duration::from_secs(30);
 
@@ -29,21 +29,21 @@
     first.granted().await;
     let mut low = scheduler.request(TierRank(1), TIME_LEFT);
     let mut high = scheduler.request(TierRank(0), TIME_LEFT);
-    assert!(timeout(SOON, high.granted()).await.is_err(), "one at once");
+    assert!(timeout(SHORT, high.granted()).await.is_err(), "one at once");
 
     drop(first);
 
     timeout(LONG, high.granted())
         .await
         .expect("the better tier");
-    assert!(timeout(SOON, low.granted()).await.is_err());
+    assert!(timeout(SHORT, low.granted()).await.is_err());
     assert_eq!(scheduler.waiting(), 1);
 }
 
 // The agent that holds a turn dies in the middle of its load, and its stream ends with its link.
 // The others would wait for ever if its turn stayed with it.
 #[tokio::test(start_paused = true)]
-async fn holder_dies() {
+async fn holder_disconnects() {
     let scheduler = scheduler(1);
     let mut held = scheduler.request(TierRank(0), TIME_LEFT);
     held.granted().await;
@@ -58,7 +58,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn rate_kept() {
+async fn rate_limited() {
     let scheduler = LoadSlotScheduler::start(Options {
         loads_per_second: 2.0,
         full_speed_loads: 100,
--- a/crates/stair-entry/tests/control_propose.rs
+++ b/crates/stair-entry/tests/control_propose.rs
@@ -35,11 +35,11 @@
 const MODELS: u32 = 20;
 
 /// Proposes for every shard that may be judged and takes what is proposed as written at `version`.
-fn round(state: &mut State, version: u64) -> usize {
+fn propose_all(state: &mut State, version: u64) -> usize {
     let mut planner = Planner::new(state);
     let mut written = 0;
-    let judged = (0..SHARDS).map(ShardId);
-    for shard in judged
+    let complete = (0..SHARDS).map(ShardId);
+    for shard in complete
         .filter(|s| state.is_complete_for(*s))
         .collect::<Vec<_>>()
     {
@@ -76,11 +76,15 @@
 fn decided_number() {
     let mut state = state(10, MODELS, 3);
 
-    round(&mut state, 10);
+    propose_all(&mut state, 10);
 
     assert_within(&state, 3);
     assert_eq!(grants(&state).len(), 3 * MODELS as usize);
-    assert_eq!(round(&mut state, 11), 0, "a second round has nothing to do");
+    assert_eq!(
+        propose_all(&mut state, 11),
+        0,
+        "a second round has nothing to do"
+    );
 }
 
 // VMs leave, and their holders have not confirmed yet that they unloaded. Were the models granted
@@ -88,15 +92,15 @@
 #[test]
 fn leaving_holder() {
     let mut state = state(10, MODELS, 3);
-    round(&mut state, 10);
+    propose_all(&mut state, 10);
     let name = target(4);
     let before = of_target(&state, &name).len();
     assert!(before > 0);
     let leaving = Some(target_vm(4, VmState::Leaving));
     state.update_vm(name.as_str().into(), 11, leaving);
 
-    round(&mut state, 12);
-    round(&mut state, 13);
+    propose_all(&mut state, 12);
+    propose_all(&mut state, 13);
 
     let held = of_target(&state, &name);
     assert_eq!(held.len(), before);
@@ -108,24 +112,24 @@
 #[test]
 fn agent_says_leaving() {
     let mut state = state(10, MODELS, 3);
-    round(&mut state, 10);
+    propose_all(&mut state, 10);
     state.record_leaving(target(4), FencingToken(1));
 
-    round(&mut state, 12);
+    propose_all(&mut state, 12);
 
     assert!(of_target(&state, &target(4)).iter().all(|g| g.revoking));
 }
 
 // A VM was taken away with all that it held, so its grants come free.
 #[test]
-fn gone_holder() {
+fn removed_holder() {
     let mut state = state(10, MODELS, 3);
-    round(&mut state, 10);
+    propose_all(&mut state, 10);
     let name = target(4);
     state.update_vm(name.as_str().into(), 1_001, None);
     state.advance_revision(1_001);
 
-    round(&mut state, 1_002);
+    propose_all(&mut state, 1_002);
 
     assert!(of_target(&state, &name).is_empty());
     assert_within(&state, 3);
@@ -143,21 +147,21 @@
     shard.grant(&model_name(0), &newcomer, 1).expect("granted");
     state.update_shard(shard_of(&model_name(0)), 2_000, Some(shard));
 
-    assert_eq!(round(&mut state, 2_001), 0);
+    assert_eq!(propose_all(&mut state, 2_001), 0);
 
     assert_eq!(of_target(&state, &newcomer).len(), 1);
     state.advance_revision(2_002);
-    round(&mut state, 2_003);
+    propose_all(&mut state, 2_003);
     assert!(of_target(&state, &newcomer).is_empty());
 }
 
 #[test]
 fn undeclared_model() {
     let mut state = state(10, MODELS, 3);
-    round(&mut state, 10);
+    propose_all(&mut state, 10);
     state.update_config(config(1_003, 2, MODELS - 1, 3));
 
-    round(&mut state, 1_004);
+    propose_all(&mut state, 1_004);
 
     let last = model_name(MODELS - 1);
     let mut held = grants(&state);
@@ -169,10 +173,10 @@
 #[test]
 fn lowered_replicas() {
     let mut state = state(10, MODELS, 3);
-    round(&mut state, 10);
+    propose_all(&mut state, 10);
     state.update_config(config(1_003, 2, MODELS, 1));
 
-    round(&mut state, 1_004);
+    propose_all(&mut state, 1_004);
 
     for i in 0..MODELS {
         let name = model_name(i);
@@ -187,13 +191,13 @@
 #[test]
 fn holders_without_record() {
     let mut state = state(2, 1, 2);
-    round(&mut state, 10);
+    propose_all(&mut state, 10);
     assert_eq!(grants(&state).len(), 2);
     for i in 0..2 {
         state.update_incarnation(target(i), 1_001, None);
     }
 
-    round(&mut state, 1_002);
+    propose_all(&mut state, 1_002);
 
     assert!(grants(&state).iter().all(|g| g.revoking));
 }
--- a/crates/stair-entry/tests/control_state.rs
+++ b/crates/stair-entry/tests/control_state.rs
@@ -50,7 +50,7 @@
     Shard(u64),
     Record(u64),
     Vm(u64),
-    VmGone(u64),
+    VmDeleted(u64),
 }
 
 fn arrive(state: &mut State, arrival: Arrival) {
@@ -70,7 +70,7 @@
             let vm = target_vm(1, VmState::Live);
             state.update_vm(target(1).as_str().into(), v, Some(vm));
         }
-        Arrival::VmGone(v) => {
+        Arrival::VmDeleted(v) => {
             state.update_vm(target(1).as_str().into(), v, None);
         }
     }
@@ -88,7 +88,7 @@
             .collect();
         all.extend((1..=VERSIONS).map(|v| match v % 2 {
             0 => Arrival::Vm(v),
-            _ => Arrival::VmGone(v),
+            _ => Arrival::VmDeleted(v),
         }));
         all.extend(all.clone());
         all.shuffle(&mut rng);
@@ -109,7 +109,7 @@
 // VMs come and go for months. The oldest deletions are forgotten, and a late answer from before
 // must not bring a VM back.
 #[test]
-fn forgotten_deletions() {
+fn pruned_deletions() {
     let mut state = State::default();
     for i in 0..10_000 {
         let name = target(i).as_str().into();
@@ -148,7 +148,7 @@
 }
 
 #[test]
-fn view_kept() {
+fn view_reused() {
     let mut state = state(3, 2, 1);
     let first = state.view(&View::default());
 
--- a/crates/stair-entry/tests/crossed_answers.rs
+++ b/crates/stair-entry/tests/crossed_responses.rs
@@ -38,7 +38,7 @@
 // Hundreds of advocates ask at the same time through shared links. An answer that reaches the
 // wrong one would give a stranger's brief away.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn marked_bodies_return() {
+async fn each_body_returns() {
     let keys = keys();
     let a = FakeAgent::start("t1", &keys, echo);
     let b = FakeAgent::start("t2", &keys, echo);
@@ -51,7 +51,7 @@
             let model = ["billed", "free"][i % 2];
             let mark = "x".repeat(i * 37);
             let body = format!(r#"{{"model":"{model}","prompt":"{i} {mark}"}}"#);
-            let got = rig.ask(GOLD, &body, &[]).await;
+            let got = rig.post(GOLD, &body, &[]).await;
             assert_eq!(got.status.as_u16(), 200);
             assert!(got.body[..] == *body.as_bytes(), "caller {i} got another");
         });
--- a/crates/stair-entry/tests/drain.rs
+++ b/crates/stair-entry/tests/drain.rs
@@ -10,13 +10,13 @@
         Event,
         FakeAgent, //
     },
+    in_time,
     rig::{
         BILLED,
         GOLD,
         Rig,
         keys, //
     },
-    soon,
 };
 use tokio::sync::Notify;
 
@@ -26,8 +26,8 @@
 #[tokio::test]
 async fn running_is_finished() {
     let keys = keys();
-    let go = Arc::new(Notify::new());
-    let wait = go.clone();
+    let release = Arc::new(Notify::new());
+    let wait = release.clone();
     let mut agent = FakeAgent::start("t1", &keys, move |s| {
         let wait = wait.clone();
         async move {
@@ -36,8 +36,8 @@
         }
     });
     let rig = Arc::new(Rig::start(&keys, &[&agent]).await);
-    let asking = rig.clone();
-    let running = tokio::spawn(async move { asking.ask(GOLD, BILLED, &[]).await });
+    let poster = rig.clone();
+    let running = tokio::spawn(async move { poster.post(GOLD, BILLED, &[]).await });
     assert_eq!(agent.next().await, Event::Offered);
 
     rig.traffic.begin_drain();
@@ -47,9 +47,9 @@
     assert!(refused.head.headers.contains_key("retry-after"));
     let body = refused.collect(1 << 16, LONG).await.expect("whole");
     assert!(String::from_utf8_lossy(&body).contains("\"leaving\""));
-    go.notify_one();
+    release.notify_one();
 
-    let got = soon(running).await.expect("no panic");
+    let got = in_time(running).await.expect("no panic");
     assert_eq!(got.status.as_u16(), 200);
-    soon(rig.traffic.drained()).await;
+    in_time(rig.traffic.drained()).await;
 }
--- a/crates/stair-entry/tests/not_run_elsewhere.rs
+++ b/crates/stair-entry/tests/not_run_elsewhere.rs
@@ -33,7 +33,7 @@
     let rig = Rig::start(&keys, &[&leaving, &staying]).await;
 
     for _ in 0..40 {
-        let got = rig.ask(GOLD, BILLED, &[]).await;
+        let got = rig.post(GOLD, BILLED, &[]).await;
         assert_eq!(got.status.as_u16(), 200);
     }
 
@@ -54,7 +54,7 @@
     let rig = Rig::start(&keys, &[&broken, &sound]).await;
 
     for _ in 0..8 {
-        let got = rig.ask(GOLD, BILLED, &[]).await;
+        let got = rig.post(GOLD, BILLED, &[]).await;
         assert_eq!(got.status.as_u16(), 200);
     }
 
@@ -76,7 +76,7 @@
     let b = FakeAgent::start("t2", &keys, full(20_000));
     let rig = Rig::start(&keys, &[&a, &b]).await;
 
-    let got = rig.ask(GOLD, BILLED, &[]).await;
+    let got = rig.post(GOLD, BILLED, &[]).await;
 
     assert_eq!(got.status.as_u16(), 429);
     assert_eq!(&*got.verdict, "not-run");
@@ -89,7 +89,7 @@
     let keys = keys();
     let rig = Rig::start(&keys, &[]).await;
 
-    let got = rig.ask(GOLD, BILLED, &[]).await;
+    let got = rig.post(GOLD, BILLED, &[]).await;
 
     assert_eq!(got.status.as_u16(), 503);
     assert_eq!(got.code(), "no-target");
--- a/crates/stair-entry/tests/plain_answer.rs
+++ b/crates/stair-entry/tests/plain_response.rs
@@ -25,7 +25,7 @@
     let mut agent = FakeAgent::start("t1", &keys, |s| s.serve("{\"ok\":1}"));
     let rig = Rig::start(&keys, &[&agent]).await;
 
-    let got = rig.ask(GOLD, BILLED, &[]).await;
+    let got = rig.post(GOLD, BILLED, &[]).await;
 
     assert_eq!(got.status, StatusCode::OK);
     assert_eq!(&*got.verdict, "answered");
@@ -45,7 +45,7 @@
     });
     let rig = Rig::start(&keys, &[&agent]).await;
 
-    let got = rig.ask(GOLD, FREE, &[]).await;
+    let got = rig.post(GOLD, FREE, &[]).await;
 
     assert_eq!(got.status, StatusCode::OK);
     assert_eq!(agent.next().await, Event::Offered);
@@ -64,7 +64,7 @@
     });
     let rig = Rig::start(&keys, &[&agent]).await;
 
-    let got = rig.ask(GOLD, r#"{"model":"billed/short"}"#, &[]).await;
+    let got = rig.post(GOLD, r#"{"model":"billed/short"}"#, &[]).await;
 
     assert_eq!(&got.body[..], b"billed short");
 }
@@ -86,7 +86,7 @@
 }
 
 #[tokio::test]
-async fn long_answer_whole() {
+async fn long_response_whole() {
     let keys = keys();
     let text = "0123456789".repeat(100_000);
     let sent = text.clone();
@@ -96,7 +96,7 @@
     });
     let rig = Rig::start(&keys, &[&agent]).await;
 
-    let got = rig.ask(GOLD, BILLED, &[]).await;
+    let got = rig.post(GOLD, BILLED, &[]).await;
 
     assert_eq!(got.body.len(), text.len());
     assert!(got.body[..] == *text.as_bytes());
--- a/crates/stair-entry/tests/random_bodies.rs
+++ b/crates/stair-entry/tests/random_bodies.rs
@@ -60,7 +60,7 @@
         let body = body().new_tree(&mut runner).expect("it makes a value");
         let body = body.current();
 
-        let got = rig.ask(GOLD, &body, &[]).await;
+        let got = rig.post(GOLD, &body, &[]).await;
 
         let status = got.status.as_u16();
         let refused = (400..500).contains(&status) && &*got.verdict == "not-run";
--- a/crates/stair-entry/tests/resume.rs
+++ b/crates/stair-entry/tests/resume.rs
@@ -45,17 +45,17 @@
 // A link goes silent in the middle of a stream while the run goes on at the target. The caller
 // notices a pause, and gets every byte once.
 #[tokio::test]
-async fn stream_goes_on() {
+async fn stream_resumes() {
     let keys = keys();
     let read = Arc::new(Notify::new());
     let was_read = read.clone();
     let mut agent = FakeAgent::start("t1", &keys, move |s| stream(s, was_read.clone()));
     let rig = Rig::start(&keys, &[&agent]).await;
 
-    let mut answer = rig.send(GOLD, BILLED, &[]).await;
-    let first = answer.chunk(LONG).await.expect("a part");
+    let mut response = rig.send(GOLD, BILLED, &[]).await;
+    let first = response.chunk(LONG).await.expect("a part");
     read.notify_one();
-    let rest = answer.collect(1 << 16, LONG).await.expect("whole");
+    let rest = response.collect(1 << 16, LONG).await.expect("whole");
 
     assert_eq!(first.as_deref(), Some(&b"data: 1\n\n"[..]));
     assert_eq!(&rest[..], b"data: 2\n\n");
@@ -102,7 +102,7 @@
     let b = FakeAgent::start("t2", &keys, script);
     let rig = Rig::start(&keys, &[&a, &b]).await;
 
-    let got = rig.ask(GOLD, BILLED, &[]).await;
+    let got = rig.post(GOLD, BILLED, &[]).await;
 
     assert_eq!(got.status.as_u16(), 200);
     assert_eq!(&*got.verdict, "answered");
@@ -124,7 +124,7 @@
     let mut b = FakeAgent::start("t2", &keys, script);
     let rig = Rig::start(&keys, &[&a, &b]).await;
 
-    let got = rig.ask(GOLD, BILLED, &[]).await;
+    let got = rig.post(GOLD, BILLED, &[]).await;
 
     assert_eq!(got.status.as_u16(), 502);
     assert_eq!(&*got.verdict, "may-have-run");
@@ -160,7 +160,7 @@
     let b = FakeAgent::start("t2", &keys, script);
     let rig = Rig::start(&keys, &[&a, &b]).await;
 
-    let got = rig.ask(GOLD, FREE, &[]).await;
+    let got = rig.post(GOLD, FREE, &[]).await;
 
     assert_eq!(&*got.verdict, "may-have-run");
 }
--- a/crates/stair-entry/tests/retry_budget.rs
+++ b/crates/stair-entry/tests/retry_budget.rs
@@ -24,7 +24,7 @@
 // All targets are full for a while. If each refusal were sent on to every other target, the agents
 // would get several times the load that was too much already, and callers would wait longer.
 #[tokio::test]
-async fn full_targets_spared() {
+async fn retries_bounded() {
     let keys = keys();
     let full = |mut s: Session| async move {
         let refusal = Refusal::not_run(Reason::QueueFull, 500, "full");
@@ -37,7 +37,7 @@
     let rig = Rig::start(&keys, &agents.iter().collect::<Vec<_>>()).await;
 
     for _ in 0..REQUESTS {
-        let got = rig.ask(GOLD, BILLED, &[]).await;
+        let got = rig.post(GOLD, BILLED, &[]).await;
         assert_eq!(got.status.as_u16(), 429);
         assert_eq!(&*got.verdict, "not-run");
     }
--- a/crates/stair-entry/tests/route_errors.rs
+++ b/crates/stair-entry/tests/route_errors.rs
@@ -78,7 +78,7 @@
 }
 
 #[tokio::test]
-async fn climbing_path() {
+async fn parent_segment_path() {
     let path = "/services/lookup/words/%2e./pay";
     check("GET", path, GOLD, "", 400, "invalid").await;
 }
@@ -102,11 +102,11 @@
 }
 
 #[tokio::test]
-async fn balancer_asks() {
+async fn health_check() {
     let rig = rig().await;
-    let ask = || request("GET", "/healthz", "", "", &[]);
+    let post = || request("GET", "/healthz", "", "", &[]);
 
-    assert_eq!(rig.call(ask()).await.status.as_u16(), 200);
+    assert_eq!(rig.call(post()).await.status.as_u16(), 200);
     rig.traffic.begin_drain();
-    assert_eq!(rig.call(ask()).await.status.as_u16(), 503);
+    assert_eq!(rig.call(post()).await.status.as_u16(), 503);
 }
--- a/crates/stair-entry/tests/silent_link.rs
+++ b/crates/stair-entry/tests/silent_link.rs
@@ -33,7 +33,7 @@
     assert!(s.ready().await);
     s.head(EVENTS, 0).await;
     s.body("data: 1\n\n").await;
-    s.order().await;
+    s.next_message().await;
 }
 
 // Something between the entry and the target loses track of their link during a stream. Neither
@@ -47,11 +47,11 @@
     agent.addr = relay.addr;
     let rig = Rig::start(&keys, &[&agent]).await;
 
-    let mut answer = rig.send(GOLD, BILLED, &[]).await;
-    let first = answer.chunk(LONG).await.expect("a part");
+    let mut response = rig.send(GOLD, BILLED, &[]).await;
+    let first = response.chunk(LONG).await.expect("a part");
     relay.silence();
     let began = Instant::now();
-    let rest = answer.collect(1 << 16, LONG).await.expect("whole");
+    let rest = response.collect(1 << 16, LONG).await.expect("whole");
     println!("the pause took {:?}", began.elapsed());
 
     assert_eq!(first.as_deref(), Some(&b"data: 1\n\n"[..]));
--- a/crates/stair-entry/tests/slow_caller.rs
+++ b/crates/stair-entry/tests/slow_caller.rs
@@ -10,13 +10,13 @@
         FakeAgent,
         Session, //
     },
+    in_time,
     rig::{
         BILLED,
         GOLD,
         Rig,
         keys, //
     },
-    soon,
 };
 use tokio::{
     io::{
@@ -46,25 +46,25 @@
 
 // A caller announces a body and does not send it. Its place and memory would be held for ever.
 #[tokio::test]
-async fn slow_sender_cut() {
+async fn slow_sender_disconnected() {
     let keys = keys();
     let agent = FakeAgent::start("t1", &keys, |s| s.serve("{}"));
     let rig = Rig::with(&keys, &[&agent], limits(), MemoryStore::default()).await;
 
     let mut stream = connect(&rig, "{", 100).await;
     let mut text = String::new();
-    let read = soon(stream.read_to_string(&mut text)).await;
+    let read = in_time(stream.read_to_string(&mut text)).await;
 
     read.expect("the entry closes the connection");
     assert!(text.starts_with("HTTP/1.1 408"), "{text}");
     assert!(text.contains("not-run"), "{text}");
-    soon(rig.traffic.drained()).await;
+    in_time(rig.traffic.drained()).await;
 }
 
 // A caller stops reading in the middle of a long answer. The run would block the target's place
 // for as long as the caller likes.
 #[tokio::test]
-async fn unread_answer_cancelled() {
+async fn unread_response_cancelled() {
     let keys = keys();
     let mut agent = FakeAgent::start("t1", &keys, |mut s: Session| async move {
         s.queued().await;
@@ -74,7 +74,7 @@
         for _ in 0..64 {
             s.body(&part).await;
         }
-        s.order().await;
+        s.next_message().await;
     });
     let rig = Rig::with(&keys, &[&agent], limits(), MemoryStore::default()).await;
 
@@ -83,13 +83,13 @@
     assert_eq!(agent.next().await, Event::Offered);
     assert_eq!(agent.next().await, Event::Started);
     assert_eq!(agent.next().await, Event::Cancelled);
-    soon(rig.traffic.drained()).await;
+    in_time(rig.traffic.drained()).await;
 }
 
 // A caller gives up while its request waits in a queue. Running it later would bill work that
 // nobody reads.
 #[tokio::test]
-async fn waiting_caller_leaves() {
+async fn waiting_caller_disconnects() {
     let keys = keys();
     let mut agent = FakeAgent::start("t1", &keys, Session::hold);
     let rig = Rig::start(&keys, &[&agent]).await;
@@ -99,5 +99,5 @@
     drop(stream);
 
     assert_eq!(agent.next().await, Event::Cancelled);
-    soon(rig.traffic.drained()).await;
+    in_time(rig.traffic.drained()).await;
 }
--- a/crates/stair-entry/tests/support/agent.rs
+++ b/crates/stair-entry/tests/support/agent.rs
@@ -36,7 +36,7 @@
 };
 use tokio::sync::mpsc;
 
-use super::soon;
+use super::in_time;
 
 /// What an agent saw.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -88,7 +88,7 @@
 
     /// Waits for the next event.
     pub async fn next(&mut self) -> Event {
-        soon(self.events.recv()).await.expect("the agent runs")
+        in_time(self.events.recv()).await.expect("the agent runs")
     }
 
     /// Returns the events that have come and were not taken.
@@ -97,7 +97,7 @@
     }
 
     /// Closes all links, as if they had gone silent and were given up.
-    pub fn cut(&self) {
+    pub fn close_links(&self) {
         for link in self.links.lock().expect("no panic").drain(..) {
             link.close();
         }
@@ -185,11 +185,11 @@
     /// Says that it can run and waits for what the entry says; true for a start.
     pub async fn ready(&mut self) -> bool {
         self.send(FromAgent::Ready).await;
-        self.order().await == Some(ToAgent::Start)
+        self.next_message().await == Some(ToAgent::Start)
     }
 
     /// Waits for the next message of the entry.
-    pub async fn order(&mut self) -> Option<ToAgent> {
+    pub async fn next_message(&mut self) -> Option<ToAgent> {
         let msg = frame::read_message::<_, ToAgent>(&mut self.rx).await.ok()?;
         let event = match msg {
             ToAgent::Start => Event::Started,
@@ -246,6 +246,6 @@
     /// Queues and waits until the entry withdraws the request.
     pub async fn hold(mut self) {
         self.queued().await;
-        self.order().await;
+        self.next_message().await;
     }
 }
--- a/crates/stair-entry/tests/support/mod.rs
+++ b/crates/stair-entry/tests/support/mod.rs
@@ -13,10 +13,10 @@
 pub const LONG: Duration = Duration::from_secs(20);
 
 /// Waits for what has to happen, and fails the test if it does not.
-pub async fn soon<F>(what: F) -> F::Output
+pub async fn in_time<F>(event: F) -> F::Output
 where
     F: Future,
 {
-    let waited = tokio::time::timeout(LONG, what).await;
+    let waited = tokio::time::timeout(LONG, event).await;
     waited.expect("what has to happen happens in time")
 }
--- a/crates/stair-entry/tests/support/rig.rs
+++ b/crates/stair-entry/tests/support/rig.rs
@@ -92,14 +92,14 @@
 
 /// An answer read whole.
 #[derive(Debug)]
-pub struct Got {
+pub struct FullResponse {
     pub status: StatusCode,
     pub verdict: Box<str>,
     pub retry_after: Option<u32>,
     pub body: Bytes,
 }
 
-impl Got {
+impl FullResponse {
     /// Returns the code of the error JSON.
     pub fn code(&self) -> String {
         let json: Value = serde_json::from_slice(&self.body).expect("an error is JSON");
@@ -178,25 +178,25 @@
     }
 
     /// Sends a completion request and reads the answer whole.
-    pub async fn ask(&self, key: &str, body: &str, headers: &[(&str, &str)]) -> Got {
-        got(self.send(key, body, headers).await).await
+    pub async fn post(&self, key: &str, body: &str, headers: &[(&str, &str)]) -> FullResponse {
+        read_full(self.send(key, body, headers).await).await
     }
 
     /// Sends any request and reads the answer whole.
-    pub async fn call(&self, req: Request<Full<Bytes>>) -> Got {
+    pub async fn call(&self, req: Request<Full<Bytes>>) -> FullResponse {
         let sent = self.client.send(req, LONG).await;
-        got(sent.expect("the entry answers")).await
+        read_full(sent.expect("the entry answers")).await
     }
 }
 
-pub async fn got(answer: Answer) -> Got {
-    let headers = answer.head.headers.clone();
+pub async fn read_full(response: Answer) -> FullResponse {
+    let headers = response.head.headers.clone();
     let text = |name: &str| headers.get(name).and_then(|v| v.to_str().ok());
-    Got {
-        status: answer.head.status,
+    FullResponse {
+        status: response.head.status,
         verdict: text("dandelionstair-verdict").unwrap_or("").into(),
         retry_after: text("retry-after").and_then(|v| v.parse().ok()),
-        body: answer
+        body: response
             .collect(1 << 24, LONG)
             .await
             .expect("the answer is whole"),
