--- a/crates/stair-entry/src/traffic/response.rs
+++ b/crates/stair-entry/src/traffic/response.rs
@@ -44,7 +44,7 @@
             Ok(frame) => {
                 resume.reset();
                 if handle_frame(cx, req, exchange, caller, &mut received, frame).await?
-                    == Stream::Complete
+                    == ForwardState::Complete
                 {
                     return caller.end().await;
                 }
@@ -56,7 +56,7 @@
 }
 
 #[derive(PartialEq, Eq)]
-enum Stream {
+enum ForwardState {
     Open,
     Complete,
 }
@@ -68,7 +68,7 @@
     caller: &mut Caller,
     received: &mut u64,
     frame: Frame<FromAgent>,
-) -> Result<Stream, Refusal> {
+) -> Result<ForwardState, Refusal> {
     match frame {
         Frame::Body(bytes) => body(caller, received, bytes).await?,
         Frame::Message(FromAgent::Head {
@@ -104,7 +104,7 @@
         // An agent that starts by itself says so all the same.
         Frame::Message(FromAgent::Ready) => exchange.started_at = Some(Instant::now()),
     }
-    Ok(Stream::Open)
+    Ok(ForwardState::Open)
 }
 
 /// Compares the target's time to its first byte with that of the others.
@@ -127,11 +127,11 @@
     caller.push(bytes).await
 }
 
-fn end(caller: &Caller, received: u64, total: u64) -> Result<Stream, Refusal> {
+fn end(caller: &Caller, received: u64, total: u64) -> Result<ForwardState, Refusal> {
     if !caller.has_head() || received != total {
         return Err(malformed("the answer is not whole"));
     }
-    Ok(Stream::Complete)
+    Ok(ForwardState::Complete)
 }
 
 fn malformed(message: &str) -> Refusal {
