--- a/crates/stair-fleet/src/lib.rs
+++ b/crates/stair-fleet/src/lib.rs
@@ -3,12 +3,12 @@
 //! Pure state and decisions: no input or output, no clock, no threads. Time is passed in as a
 //! [`Duration`](std::time::Duration) since the start of the process.
 //!
-//! - [`allowance`]: what is left of a workspace's allowance.
+//! - [`quota`]: what is left of a workspace's allowance.
 //! - [`catalogue`]: routes, services and models that operators declare, and the choice of a route.
 //! - [`workspace`]: who a request is for, and what its workspace may ask for.
 //! - [`target`]: what a target announces, and what its agent reports of it.
 //! - [`view`]: all that one entry knows of the targets, with the age of each part.
-//! - [`seen`]: one target as an entry knows it.
+//! - [`target_state`]: one target as an entry knows it.
 //! - [`choose`]: the target for a request among those that can run it now.
 //! - [`cold_start`]: the target that loads a model, and what makes room for it there.
 //! - [`overload`]: what to do with a request whose best target is slow.
@@ -25,7 +25,6 @@
 #![deny(missing_docs)]
 #![forbid(unsafe_code)]
 
-pub mod allowance;
 pub mod balance;
 pub mod budget;
 pub mod catalogue;
@@ -40,8 +39,9 @@
 pub mod prefetch;
 pub mod prefill;
 pub mod quarantine;
-pub mod seen;
+pub mod quota;
 pub mod target;
+pub mod target_state;
 pub mod view;
 pub mod workspace;
 
--- a/crates/stair-relay/src/crash.rs
+++ b/crates/stair-relay/src/crash.rs
@@ -13,11 +13,11 @@
 use stair_fleet::{
     quarantine::{
         Crash,
-        ESTABLISHED_TIME,
+        ESTABLISHED_DURATION,
         Run, //
     },
-    seen::Seen,
-    target::State as TargetState,
+    target::State,
+    target_state::TargetState,
     view::TargetKey, //
 };
 use stair_telemetry::event::Line;
@@ -63,7 +63,7 @@
 }
 
 impl Life {
-    fn of(seen: &Seen) -> Self {
+    fn of(seen: &TargetState) -> Self {
         Self {
             id: seen.target.id.clone(),
             started: seen.target.started,
@@ -192,14 +192,14 @@
 fn note(cx: &Arc<Context>, job: &Job, key: TargetKey, begun: Option<Instant>, how: How) {
     let run = Run {
         fingerprint: job.fingerprint(),
-        established: begun.is_some_and(|t| t.elapsed() >= ESTABLISHED_TIME),
+        established: begun.is_some_and(|t| t.elapsed() >= ESTABLISHED_DURATION),
         on_trial: job.is_on_trial(),
     };
     let (life, addr, first, ended) = {
         let mut state = cx.state();
         let seen = state.view.get(key);
         // What a target cuts that leaves is not put down to its requests.
-        if seen.target.state != TargetState::Ready {
+        if seen.target.state != State::Ready {
             return;
         }
         let (life, addr) = (Life::of(seen), seen.target.addr);
@@ -264,11 +264,11 @@
                 return true;
             };
             match seen.target.state {
-                TargetState::Draining(_) => return false,
-                TargetState::Ready if seen.fresh(now).is_some_and(|r| !r.load.alive) => {
+                State::Draining(_) => return false,
+                State::Ready if seen.fresh_report(now).is_some_and(|r| !r.load.alive) => {
                     return true;
                 }
-                TargetState::Ready => {}
+                State::Ready => {}
             }
         }
         sleep(LOOK_EVERY).await;
@@ -292,5 +292,11 @@
         Some(started) => format!("{}@{started}", life.id).into(),
         None => life.id.clone(),
     };
-    quarantine::report(cx, Crash { life, runs });
+    quarantine::report(
+        cx,
+        Crash {
+            incarnation: life,
+            runs,
+        },
+    );
 }
--- a/crates/stair-relay/src/links.rs
+++ b/crates/stair-relay/src/links.rs
@@ -16,8 +16,8 @@
         ToAgent,
         ToEntry, //
     },
-    seen::QUIET_TIME,
     target::State as TargetState,
+    target_state::UNRESPONSIVE_TIMEOUT,
 };
 use stair_telemetry::event::Line;
 use stair_wire::frame;
@@ -118,12 +118,12 @@
         looked = Instant::now();
         if late {
             // What agents said meanwhile is still to be read.
-            trusted_from = looked + QUIET_TIME;
+            trusted_from = looked + UNRESPONSIVE_TIMEOUT;
         }
         if looked < trusted_from {
             continue;
         }
-        let quiet = cx.state().view.mark_quiet(cx.now());
+        let quiet = cx.state().view.mark_unresponsive(cx.now());
         cx.are_quiet(&quiet);
     }
 }
@@ -160,12 +160,12 @@
                     .show("why", format_args!("{ended:?}"))
                     .write();
                 if ended == Ended::Closed {
-                    cx.state().view.agent_gone_at(engine);
+                    cx.state().view.agent_disconnected_at(engine);
                 }
             }
             // Its VM answers and no agent is there.
             Ok(Err(e)) if e.kind() == ErrorKind::ConnectionRefused => {
-                cx.state().view.agent_gone_at(engine);
+                cx.state().view.agent_disconnected_at(engine);
             }
             // No sign of the VM, or this process is out of descriptors.
             Ok(Err(_)) | Err(_) => {}
@@ -208,7 +208,7 @@
     state.homes.clear();
     state.allowances.link_ended(engine);
     state.quarantine.link_ended(engine);
-    state.view.unreport(engine);
+    state.view.drop_report_at(engine);
 }
 
 /// How a link has ended.
@@ -243,15 +243,15 @@
             Err(_) => return Ended::Silent,
         };
         let now = cx.now();
-        cx.state().view.message_at(engine, now);
+        cx.state().view.record_message_at(engine, now);
         match msg {
-            ToEntry::Holds(holds) => {
-                cx.state().view.holds_at(engine, *holds, now);
+            ToEntry::Inventory(inventory) => {
+                cx.state().view.set_inventory_at(engine, *inventory, now);
             }
             ToEntry::Load(load) => {
-                cx.state().view.load_at(engine, *load, now);
+                cx.state().view.set_load_at(engine, *load, now);
             }
-            ToEntry::Done { seq, outcome } => {
+            ToEntry::LoadReply { seq, outcome } => {
                 let waiting = {
                     let mut state = cx.state();
                     let Some(i) = state.agent(engine) else {
@@ -264,7 +264,7 @@
                 // The request that asked may have been given up.
                 waiting.map(|tx| tx.send(outcome));
             }
-            ToEntry::Prefill { seq, answer } => {
+            ToEntry::Prefill { seq, reply: answer } => {
                 let mut state = cx.state();
                 let Some(i) = state.agent(engine) else {
                     return Ended::Closed;
@@ -273,14 +273,16 @@
                 let found = list.iter().position(|(s, _)| *s == seq);
                 let asked = found.map(|i| list.swap_remove(i).1);
                 let until = now + answer.backlog;
-                state.view.reads_at(engine, until);
+                state.view.set_prefill_until(engine, until);
                 drop(state);
                 // The request that asked may have been given up.
                 asked.map(|tx| tx.send(answer));
             }
-            ToEntry::Allowed { seq, answer } => allowance::answered(cx, engine, seq, answer),
-            ToEntry::Former(id) => receive_former(cx, engine, id),
-            ToEntry::Declare => declare(cx, engine),
+            ToEntry::QuotaReply { seq, reply: answer } => {
+                allowance::answered(cx, engine, seq, answer)
+            }
+            ToEntry::StaleIncarnation(id) => receive_former(cx, engine, id),
+            ToEntry::DeclarationRequest => declare(cx, engine),
             ToEntry::Quarantine(msg) => quarantine::receive(cx, engine, msg),
             ToEntry::Peers(peers) => {
                 let mut state = cx.state();
@@ -302,7 +304,7 @@
     let service = state.view.at(engine).map(|(_, s)| &*s.target.service);
     let decl = service.and_then(|s| catalogue.service(s)?.engine.clone());
     if let Some(engine) = decl {
-        let msg = ToAgent::Engine {
+        let msg = ToAgent::Declaration {
             version: catalogue.version,
             engine,
         };
@@ -390,7 +392,7 @@
         let life = Some((id.clone(), started));
         if sent.life != life {
             let revision = state.view.revision;
-            out.push(ToAgent::Instance { id, revision });
+            out.push(ToAgent::Incarnation { id, revision });
             sent.life = life;
         }
     }
@@ -400,7 +402,7 @@
     }
     let read = state.take_read(engine);
     if !read.is_empty() {
-        out.push(ToAgent::Read(read));
+        out.push(ToAgent::PrefillTimes(read));
     }
     out
 }
--- a/crates/stair-sidecar/src/process/dump.rs
+++ b/crates/stair-sidecar/src/process/dump.rs
@@ -4,12 +4,12 @@
 
 use serde::Serialize;
 use stair_fleet::{
-    allowance::Ledger,
     msg::ReplicationState,
     prefill::Rate,
     quarantine,
+    quota::Ledger,
     target::{
-        Holds,
+        Inventory,
         Load, //
     },
 };
@@ -32,7 +32,7 @@
     declared: u64,
     /// Readings that failed in a row.
     misses: u32,
-    holds: Holds,
+    holds: Inventory,
     load: Load,
     /// How fast the engine reads prompts, as far as they have told.
     rates: Vec<Rate>,
