--- a/crates/stair-policy/examples/measure/saturation.rs
+++ b/crates/stair-policy/examples/measure/saturation.rs
@@ -31,7 +31,7 @@
 const SLOTS: usize = 16;
 const SPAN: f64 = 900.0;
 
-fn options(floors: &[u8], spare_percent: u16) -> Options {
+fn options(floors: &[u8], slack_percent: u16) -> Options {
     let tier = |floor_percent: &u8| TierOptions {
         max_waiting: 256,
         floor_percent: *floor_percent,
@@ -40,7 +40,7 @@
         max_requests: 512,
         max_bytes: 64 * 1024 * 1024,
         short_run: Duration::from_secs(1),
-        spare_percent,
+        slack_percent,
         tiers: floors.iter().map(tier).collect(),
     }
 }
--- a/crates/stair-policy/src/queue/forecast.rs
+++ b/crates/stair-policy/src/queue/forecast.rs
@@ -9,7 +9,7 @@
     Item,
     Outcome,
     Queue,
-    tier::Lane, //
+    tier::TierQueue, //
 };
 
 /// A tier is taken to have at least this part of the engine: arrivals change, and an estimate of
@@ -44,24 +44,24 @@
     K: Copy + Eq,
 {
     /// Returns how late the item, or one of its tier behind it, would be; zero when none is.
-    pub(super) fn late_by(
+    pub(super) fn lateness(
         &self,
         now: Duration,
         at: usize,
         item: &Item<K>,
         est: &Estimate,
     ) -> Duration {
-        let lane = &self.lanes[at];
-        let index = lane.index_of(item.deadline);
+        let tier = &self.tiers[at];
+        let index = tier.index_of(item.deadline);
         let share = self.share(now, at, item.expected_run > self.opts.short_run, est);
         let begin = (now + est.slot_free_in).as_secs_f64();
         let start = |ahead, run| begin + self.wait_behind(at, ahead, run, &share);
-        let items = lane.items();
+        let items = tier.items();
         let mut ahead = seconds(items[..index].iter().map(|i| i.expected_run).sum());
         let run = seconds(item.expected_run);
         let own_start = start(ahead, run).max(seconds(now + est.ready_in));
-        let spare = self.spare(run, own_start - seconds(now));
-        let mut late = own_start + run + spare - seconds(item.deadline);
+        let slack = self.slack(run, own_start - seconds(now));
+        let mut late = own_start + run + slack - seconds(item.deadline);
         for behind in &items[index..] {
             let (deadline, its_run) = (seconds(behind.deadline), seconds(behind.expected_run));
             // An item that is late anyway is not a reason to refuse another.
@@ -77,9 +77,9 @@
     }
 
     /// Time to spare that is asked of an item; none of one that does not wait.
-    fn spare(&self, run: f64, wait: f64) -> f64 {
-        let spare = run * f64::from(self.opts.spare_percent) / 100.0;
-        spare.min(wait)
+    fn slack(&self, run: f64, wait: f64) -> f64 {
+        let slack = run * f64::from(self.opts.slack_percent) / 100.0;
+        slack.min(wait)
     }
 
     /// Returns the part of the engine that is left to a tier, in slots.
@@ -90,18 +90,18 @@
     /// stands for what will.
     pub(super) fn share(&self, now: Duration, at: usize, long: bool, est: &Estimate) -> Share {
         let slots = est.slots();
-        let higher: f64 = self.lanes[..at].iter().map(|l| l.inflow(now)).sum();
+        let higher: f64 = self.tiers[..at].iter().map(|l| l.inflow(now)).sum();
         let short = if long {
-            self.lanes[at].short_inflow(now)
+            self.tiers[at].short_inflow(now)
         } else {
             0.0
         };
-        let below = self.lanes[at + 1..]
+        let below = self.tiers[at + 1..]
             .iter()
             .filter(|l| !l.items().is_empty());
-        let floors: f64 = below.map(Lane::floor).sum();
+        let floors: f64 = below.map(TierQueue::floor).sum();
         let by_rank = slots * (1.0 - floors) - higher - short;
-        let floor = slots * self.lanes[at].floor() - short;
+        let floor = slots * self.tiers[at].floor() - short;
         Share {
             by_rank: by_rank.max(slots * MIN_SHARE),
             floor: floor.max(0.0),
@@ -113,7 +113,7 @@
     /// A tier with a floor never waits longer than that share takes to earn the work before the
     /// item and its own `run`.
     pub(super) fn wait_behind(&self, at: usize, own: f64, run: f64, share: &Share) -> f64 {
-        let above: Duration = self.lanes[..at].iter().map(Lane::work).sum();
+        let above: Duration = self.tiers[..at].iter().map(TierQueue::work).sum();
         let by_rank = (seconds(above) + own) / share.by_rank;
         let by_floor = (own + run) / share.floor;
         match by_floor.is_nan() {
@@ -125,7 +125,7 @@
     pub(super) fn refuse_full(&self, now: Duration, at: usize, est: &Estimate) -> Outcome<K> {
         // Half of the work that is ahead has drained by then, so there is room again.
         let share = self.share(now, at, false, est);
-        let drain = self.wait_behind(at, seconds(self.lanes[at].work()), 0.0, &share) / 2.0;
+        let drain = self.wait_behind(at, seconds(self.tiers[at].work()), 0.0, &share) / 2.0;
         Outcome::Refused {
             reason: Reason::QueueFull,
             retry_after: est.slot_free_in + bounded(drain),
--- a/crates/stair-policy/src/queue/mod.rs
+++ b/crates/stair-policy/src/queue/mod.rs
@@ -18,7 +18,7 @@
     TierRank, //
 };
 
-use tier::Lane;
+use tier::TierQueue;
 pub use types::{
     Estimate,
     Item,
@@ -33,7 +33,7 @@
 #[derive(Debug, Clone)]
 pub struct Queue<K> {
     opts: Options,
-    lanes: Vec<Lane<K>>,
+    tiers: Vec<TierQueue<K>>,
     bytes: u64,
     len: usize,
 }
@@ -44,14 +44,14 @@
 {
     /// Makes an empty queue.
     pub fn new(opts: Options) -> Self {
-        let lanes = opts.tiers.iter().map(|t| Lane::new(*t));
-        let mut lanes: Vec<_> = lanes.collect();
-        if lanes.is_empty() {
-            lanes.push(Lane::new(TierOptions::default()));
+        let tiers = opts.tiers.iter().map(|t| TierQueue::new(*t));
+        let mut tiers: Vec<_> = tiers.collect();
+        if tiers.is_empty() {
+            tiers.push(TierQueue::new(TierOptions::default()));
         }
         Self {
             opts,
-            lanes,
+            tiers,
             bytes: 0,
             len: 0,
         }
@@ -74,12 +74,12 @@
 
     /// Number of items of a tier that wait.
     pub fn waiting(&self, rank: TierRank) -> usize {
-        self.lanes[self.lane_of(rank)].items().len()
+        self.tiers[self.tier_of(rank)].items().len()
     }
 
     /// Iterates over all items that wait, by tier and deadline.
     pub fn iter(&self) -> impl Iterator<Item = &Item<K>> {
-        self.lanes.iter().flat_map(|l| l.items())
+        self.tiers.iter().flat_map(|l| l.items())
     }
 
     /// Admits an item or refuses it.
@@ -89,21 +89,21 @@
     /// item of its own tier late that was admitted before; a higher tier may do that to a lower
     /// one, since that is what it pays for.
     pub fn push(&mut self, now: Duration, item: Item<K>, est: &Estimate) -> Outcome<K> {
-        let at = self.lane_of(item.rank);
-        let late_by = self.late_by(now, at, &item, est);
-        if !late_by.is_zero() {
+        let at = self.tier_of(item.rank);
+        let lateness = self.lateness(now, at, &item, est);
+        if !lateness.is_zero() {
             return Outcome::Refused {
                 reason: Reason::WouldMissDeadline,
-                retry_after: late_by,
+                retry_after: lateness,
             };
         }
-        if self.lanes[at].is_full() {
+        if self.tiers[at].is_full() {
             return self.refuse_full(now, at, est);
         }
-        match self.make_room(at, item.bytes) {
-            Room::Free => {}
-            Room::None => return self.refuse_full(now, at, est),
-            Room::Displace(pick) => {
+        match self.find_capacity(at, item.bytes) {
+            Capacity::Free => {}
+            Capacity::None => return self.refuse_full(now, at, est),
+            Capacity::Displace(pick) => {
                 let displaced = self.take(pick);
                 self.insert(now, at, item);
                 return Outcome::Queued {
@@ -148,27 +148,29 @@
     where
         F: Fn(&Item<K>) -> bool,
     {
-        let mut picks = Vec::with_capacity(self.lanes.len());
-        for (lane, l) in self.lanes.iter().enumerate() {
+        let mut picks = Vec::with_capacity(self.tiers.len());
+        for (tier, l) in self.tiers.iter().enumerate() {
             if let Some(index) = l.pick(now, &eligible) {
-                picks.push(Pick { lane, index });
+                picks.push(Position { tier, index });
             }
         }
         let first = *picks.first()?;
         let lower = picks.iter().skip(1);
-        let owed = lower.copied().find(|p| self.lanes[p.lane].is_owed(p.index));
+        let owed = lower
+            .copied()
+            .find(|p| self.tiers[p.tier].has_earned(p.index));
         let pick = owed.unwrap_or(first);
         let item = self.take(pick);
-        self.account(pick.lane, &picks, item.expected_run);
+        self.credit_floor_shares(pick.tier, &picks, item.expected_run);
         Some(item)
     }
 
     /// Gives each tier that could have run its floor share of the work just started.
-    fn account(&mut self, served: usize, picks: &[Pick], run: Duration) {
+    fn credit_floor_shares(&mut self, served: usize, picks: &[Position], run: Duration) {
         for pick in picks {
-            self.lanes[pick.lane].earn(run);
+            self.tiers[pick.tier].earn(run);
         }
-        self.lanes[served].spend(run);
+        self.tiers[served].spend(run);
     }
 
     /// Takes out all items that can no longer finish in time, even if they started now.
@@ -176,15 +178,15 @@
     /// They are to be told at once: a caller that knows early can still turn elsewhere, and an
     /// answer after the deadline is worth nothing.
     pub fn expire(&mut self, now: Duration) -> Vec<K> {
-        let mut gone = Vec::new();
-        for lane in &mut self.lanes {
-            lane.drain_late(now, |item| {
+        let mut expired = Vec::new();
+        for tier in &mut self.tiers {
+            tier.drain_late(now, |item| {
                 self.bytes -= u64::from(item.bytes);
                 self.len -= 1;
-                gone.push(item.key);
+                expired.push(item.key);
             });
         }
-        gone
+        expired
     }
 
     /// Returns when [`Queue::expire`] will next find an item, if nothing else happens.
@@ -196,10 +198,10 @@
 
     /// Takes out one item, such as that of a caller who left.
     pub fn remove(&mut self, key: K) -> Option<Item<K>> {
-        for lane in 0..self.lanes.len() {
-            let found = self.lanes[lane].items().iter().position(|i| i.key == key);
+        for tier in 0..self.tiers.len() {
+            let found = self.tiers[tier].items().iter().position(|i| i.key == key);
             if let Some(index) = found {
-                return Some(self.take(Pick { lane, index }));
+                return Some(self.take(Position { tier, index }));
             }
         }
         None
@@ -209,9 +211,9 @@
     ///
     /// Reported to the entries, which choose a target by it.
     pub fn expected_wait(&self, now: Duration, rank: TierRank, est: &Estimate) -> Duration {
-        let at = self.lane_of(rank);
+        let at = self.tier_of(rank);
         let share = self.share(now, at, false, est);
-        let own = self.lanes[at].work().as_secs_f64();
+        let own = self.tiers[at].work().as_secs_f64();
         let short = self.opts.short_run.as_secs_f64();
         est.slot_free_in + forecast::bounded(self.wait_behind(at, own, short, &share))
     }
@@ -220,50 +222,50 @@
     ///
     /// That item is the one most likely to be late in any case, and its tier paid least. An item
     /// never displaces one of its own tier: the earlier admission is a promise.
-    fn make_room(&self, at: usize, bytes: u32) -> Room {
+    fn find_capacity(&self, at: usize, bytes: u32) -> Capacity {
         let bytes_left = self.opts.max_bytes.saturating_sub(self.bytes);
         let missing = u64::from(bytes).saturating_sub(bytes_left);
         if missing == 0 && self.len < self.opts.max_requests as usize {
-            return Room::Free;
+            return Capacity::Free;
         }
-        for lane in (at + 1..self.lanes.len()).rev() {
-            let items = self.lanes[lane].items();
+        for tier in (at + 1..self.tiers.len()).rev() {
+            let items = self.tiers[tier].items();
             let found = items.iter().rposition(|i| u64::from(i.bytes) >= missing);
             if let Some(index) = found {
-                return Room::Displace(Pick { lane, index });
+                return Capacity::Displace(Position { tier, index });
             }
         }
-        Room::None
+        Capacity::None
     }
 
     fn insert(&mut self, now: Duration, at: usize, item: Item<K>) {
         self.bytes += u64::from(item.bytes);
         self.len += 1;
         let short = item.expected_run <= self.opts.short_run;
-        self.lanes[at].insert(now, item, short);
+        self.tiers[at].insert(now, item, short);
     }
 
-    fn take(&mut self, pick: Pick) -> Item<K> {
-        let item = self.lanes[pick.lane].take(pick.index);
+    fn take(&mut self, pick: Position) -> Item<K> {
+        let item = self.tiers[pick.tier].take(pick.index);
         self.bytes -= u64::from(item.bytes);
         self.len -= 1;
         item
     }
 
-    fn lane_of(&self, rank: TierRank) -> usize {
-        usize::from(rank.0).min(self.lanes.len() - 1)
+    fn tier_of(&self, rank: TierRank) -> usize {
+        usize::from(rank.0).min(self.tiers.len() - 1)
     }
 }
 
 /// Where an item stands.
 #[derive(Debug, Clone, Copy)]
-struct Pick {
-    lane: usize,
+struct Position {
+    tier: usize,
     index: usize,
 }
 
-enum Room {
+enum Capacity {
     Free,
-    Displace(Pick),
+    Displace(Position),
     None,
 }
--- a/crates/stair-policy/src/queue/tier.rs
+++ b/crates/stair-policy/src/queue/tier.rs
@@ -12,10 +12,10 @@
 const MAX_CREDIT: Duration = Duration::from_secs(60);
 
 /// Shorter work is let ahead only while this part of the urgent item's run is left to spare.
-const SPARE_PART: u32 = 4;
+const SLACK_DIVISOR: u32 = 4;
 
 #[derive(Debug, Clone)]
-pub(super) struct Lane<K> {
+pub(super) struct TierQueue<K> {
     opts: TierOptions,
     /// Sorted by deadline; equal deadlines in the order of arrival.
     items: Vec<Item<K>>,
@@ -25,7 +25,7 @@
     short_inflow: Inflow,
 }
 
-impl<K> Lane<K>
+impl<K> TierQueue<K>
 where
     K: Copy + Eq,
 {
@@ -102,7 +102,7 @@
     {
         let work = &mut self.work;
         self.items.retain(|item| {
-            let keep = item.makes_it(now);
+            let keep = item.finishes_in_time(now);
             if !keep {
                 *work -= item.expected_run;
                 each(*item);
@@ -126,18 +126,18 @@
     {
         let open = || {
             let all = self.items.iter().enumerate();
-            all.filter(|(_, i)| i.makes_it(now) && eligible(i))
+            all.filter(|(_, i)| i.finishes_in_time(now) && eligible(i))
         };
         let (first, urgent) = open().next()?;
         let (short, shortest) = open().min_by_key(|(_, i)| i.expected_run)?;
-        let spare = urgent.expected_run / SPARE_PART;
+        let slack = urgent.expected_run / SLACK_DIVISOR;
         let shorter = shortest.expected_run * 2 <= urgent.expected_run;
-        let fits = shorter && urgent.makes_it(now + shortest.expected_run + spare);
+        let fits = shorter && urgent.finishes_in_time(now + shortest.expected_run + slack);
         Some(if fits { short } else { first })
     }
 
     /// Tells whether the floor share has earned the run of the item at `index`.
-    pub(super) fn is_owed(&self, index: usize) -> bool {
+    pub(super) fn has_earned(&self, index: usize) -> bool {
         let run = self.items[index].expected_run;
         self.opts.floor_percent > 0 && self.credit >= run.min(MAX_CREDIT)
     }
--- a/crates/stair-policy/src/queue/types.rs
+++ b/crates/stair-policy/src/queue/types.rs
@@ -22,7 +22,7 @@
     /// Time that an admitted item has to spare, in percent of its expected run. Under saturation
     /// every item starts as late as it was admitted for; without time to spare, each run that is
     /// longer than expected is then late, and its slot time wasted.
-    pub spare_percent: u16,
+    pub slack_percent: u16,
     /// One entry a tier, by rank. A rank beyond the last uses the last.
     pub tiers: Vec<TierOptions>,
 }
@@ -42,7 +42,7 @@
             max_requests: 512,
             max_bytes: 64 * 1024 * 1024,
             short_run: Duration::from_secs(1),
-            spare_percent: 25,
+            slack_percent: 25,
             tiers: vec![TierOptions::default()],
         }
     }
@@ -78,7 +78,7 @@
 
 impl<K> Item<K> {
     /// Tells whether the item could still finish in time if it started at `start`.
-    pub(super) fn makes_it(&self, start: Duration) -> bool {
+    pub(super) fn finishes_in_time(&self, start: Duration) -> bool {
         start + self.expected_run <= self.deadline
     }
 }
--- a/crates/stair-policy/tests/queue.rs
+++ b/crates/stair-policy/tests/queue.rs
@@ -51,7 +51,7 @@
         max_requests,
         max_bytes: u64::from(max_requests) * 100,
         short_run: ms(50),
-        spare_percent: 0,
+        slack_percent: 0,
         tiers: floors.iter().map(tier).collect(),
     }
 }
