--- a/crates/stair-agent/src/control.rs
+++ b/crates/stair-agent/src/control.rs
@@ -16,7 +16,7 @@
     ActorRef, //
 };
 use stair_policy::{
-    keep::Keep,
+    keep_alive::KeepAlive,
     queue::{
         Options,
         Queue, //
@@ -143,7 +143,7 @@
     pub(crate) failures: Vec<Failure>,
     /// Loads under way, with their beginning.
     pub(crate) loading: Vec<(Item, Duration)>,
-    pub(crate) keep: Keep,
+    pub(crate) keep: KeepAlive,
     /// When metrics were last sent.
     pub(crate) reported: Duration,
     /// Models whose callers were refused because the load takes too long, with their tier.
@@ -207,7 +207,7 @@
 
 impl Core {
     fn new(me: ActorRef<Msg>, args: Arguments) -> Self {
-        let keep = Keep::new(keep_options(&args.in_force));
+        let keep = KeepAlive::new(keep_options(&args.in_force));
         let queue_opts = queue_options(&args.in_force, &args.limits);
         let under_way = match args.engine {
             Some(_) if args.incarnation > FIRST => UnderWay::of_predecessor(),
--- a/crates/stair-agent/src/loads.rs
+++ b/crates/stair-agent/src/loads.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use stair_config::Model;
-use stair_policy::keep;
+use stair_policy::keep_alive;
 use stair_state::{
     Ledger,
     ledger::{
@@ -104,9 +104,9 @@
                 self.touch(Some(&item));
                 self.keep.finished(key, now);
             }
-            let cost = keep::Cost {
+            let cost = keep_alive::Cost {
                 cold_start: self.items.load(&item),
-                share: f64::from(entry.memory_mib) / total_mib,
+                memory_fraction: f64::from(entry.memory_mib) / total_mib,
             };
             let until = self.keep.idle_until(key, now, &cost);
             if !u.busy && u.waiting.is_none() && now >= until {
--- a/crates/stair-agent/src/options.rs
+++ b/crates/stair-agent/src/options.rs
@@ -4,7 +4,7 @@
 
 use stair_config::AgentLimits;
 use stair_policy::{
-    keep,
+    keep_alive,
     queue::{
         Options,
         TierOptions, //
@@ -16,13 +16,13 @@
 /// Requests that may wait in one agent, of all tiers: the time of one decision grows with them.
 const MAX_WAITING: u32 = 4096;
 
-pub(crate) fn keep_options(in_force: &InForce) -> keep::Options {
+pub(crate) fn keep_options(in_force: &InForce) -> keep_alive::Options {
     let policy = &in_force.policy().keep;
-    keep::Options {
+    keep_alive::Options {
         cold_start_weight: policy.cold_start_weight,
         min_idle: Duration::from_millis(policy.min_idle_ms.into()),
         max_idle: Duration::from_millis(policy.max_idle_ms.into()),
-        ..keep::Options::default()
+        ..keep_alive::Options::default()
     }
 }
 
--- a/crates/stair-entry/src/control/actor.rs
+++ b/crates/stair-entry/src/control/actor.rs
@@ -312,10 +312,10 @@
         self.flush_sent = false;
         self.unproposed = true;
         let policy = &self.state.config.catalogue.policy;
-        self.args.desk.allow(stair_policy::load_order::Options {
+        self.args.desk.allow(stair_policy::load_slots::Options {
             loads_per_second: policy.weight_store.loads_per_second,
             full_speed_loads: policy.weight_store.full_speed_loads,
-            ..stair_policy::load_order::Options::default()
+            ..stair_policy::load_slots::Options::default()
         });
         self.publish();
         self.update_agents();
--- a/crates/stair-entry/src/control/propose.rs
+++ b/crates/stair-entry/src/control/propose.rs
@@ -7,11 +7,11 @@
 
 use stair_config::Model;
 use stair_platform::TargetKind;
-use stair_policy::place::{
+use stair_policy::placement::{
     self,
     Change,
+    ExistingGrant,
     Fleet,
-    Held,
     ModelInfo,
     TargetInfo, //
 };
@@ -132,14 +132,14 @@
 
     fn changes(&self, shard: &GrantShard, model: &Model) -> Vec<Change> {
         let grants = shard.of_model(&model.name).iter();
-        let grants: Vec<Held> = grants.map(|g| self.held(g)).collect();
+        let grants: Vec<ExistingGrant> = grants.map(|g| self.held(g)).collect();
         let info = ModelInfo {
             name_hash: rendezvous::weight("model", model.name.as_str()),
             memory_mib: model.memory_mib,
             replicas: model.replicas,
             grants: &grants,
         };
-        place::changes(&place::Options::default(), &self.fleet, &info)
+        placement::changes(&placement::Options::default(), &self.fleet, &info)
     }
 
     fn key(&self, target: &TargetName) -> Option<TargetKey> {
@@ -193,8 +193,8 @@
 
     /// A grant of a target that is not in the arena gets a key that no target has: placement
     /// counts the grant and finds its holder unfit.
-    fn held(&self, grant: &Grant) -> Held {
-        Held {
+    fn held(&self, grant: &Grant) -> ExistingGrant {
+        ExistingGrant {
             target: self.key(&grant.target).unwrap_or(TargetKey(u32::MAX)),
             revoking: grant.revoking,
         }
--- a/crates/stair-entry/src/control/thread.rs
+++ b/crates/stair-entry/src/control/thread.rs
@@ -203,7 +203,7 @@
     let link = listener.addr()?;
     let dialer = Dialer::new(&opts.keys, opts.connect_timeout)?;
     let pool = Pool::new(dialer, Probing::REQUESTS);
-    let desk = Desk::start(stair_policy::load_order::Options::default());
+    let desk = Desk::start(stair_policy::load_slots::Options::default());
     let published = view.subscribe();
     let args = Arguments {
         name: opts.name,
--- a/crates/stair-entry/src/control/turns.rs
+++ b/crates/stair-entry/src/control/turns.rs
@@ -14,9 +14,9 @@
     time::Duration,
 };
 
-use stair_policy::load_order::{
+use stair_policy::load_slots::{
+    LoadSlots, //
     Options,
-    Turns, //
 };
 use stair_types::TierRank;
 use tokio::{
@@ -48,7 +48,7 @@
 }
 
 struct Book {
-    turns: Turns<Ticket>,
+    turns: LoadSlots<Ticket>,
     waiters: Vec<Waiter>,
     next_ticket: u64,
 }
@@ -90,7 +90,7 @@
             inner: Arc::new(Inner {
                 started: Instant::now(),
                 book: Mutex::new(Book {
-                    turns: Turns::new(with_timeout(opts)),
+                    turns: LoadSlots::new(with_timeout(opts)),
                     waiters: Vec::new(),
                     next_ticket: 0,
                 }),
--- a/crates/stair-entry/src/traffic/choose.rs
+++ b/crates/stair-entry/src/traffic/choose.rs
@@ -47,7 +47,7 @@
         .filter(|k| !tried.contains(&view.target(**k).name))
         .filter_map(|k| candidate(cx, &view, req, *k))
         .collect();
-    let home = choose::prefix_home(
+    let home = choose::affinity_target(
         req.prefix_hash,
         candidates
             .iter()
--- a/crates/stair-entry/src/traffic/dump.rs
+++ b/crates/stair-entry/src/traffic/dump.rs
@@ -32,7 +32,7 @@
         links: cx.pool.live(),
         ports_replaced: cx.pool.dialer().replaced(),
         claims_pending: cx.claims.pending(),
-        retries_left: retries.left(),
+        retries_left: retries.available(),
         targets: cx.targets.snapshot(),
     };
     serde_json::to_value(dump).unwrap_or_default()
--- a/crates/stair-entry/src/traffic/targets.rs
+++ b/crates/stair-entry/src/traffic/targets.rs
@@ -12,10 +12,10 @@
 };
 
 use serde::Serialize;
-use stair_policy::shift::{
+use stair_policy::traffic_weights::{
     self,
     Outcome,
-    Shift, //
+    TrafficWeights, //
 };
 use stair_types::{
     FencingToken,
@@ -41,7 +41,7 @@
 /// All targets that this entry has dealt with.
 pub(super) struct Targets {
     list: RwLock<List>,
-    shift: Mutex<Shift>,
+    shift: Mutex<TrafficWeights>,
 }
 
 #[derive(Default)]
@@ -115,7 +115,7 @@
     fn default() -> Self {
         Self {
             list: RwLock::default(),
-            shift: Mutex::new(Shift::new(shift::Options::default())),
+            shift: Mutex::new(TrafficWeights::new(traffic_weights::Options::default())),
         }
     }
 }
@@ -141,7 +141,7 @@
     /// Notes that a target began its answer so long after it was started.
     pub(super) fn answered(&self, target: &Target, latency: Duration) {
         let mut shift = self.shift();
-        shift.observe(target.key, latency, Outcome::Answered);
+        shift.observe(target.key, latency, Outcome::Completed);
     }
 
     /// Notes that a target could not be reached, its link broke or its engine failed.
@@ -185,7 +185,7 @@
         });
     }
 
-    fn shift(&self) -> MutexGuard<'_, Shift> {
+    fn shift(&self) -> MutexGuard<'_, TrafficWeights> {
         self.shift.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
--- a/crates/stair-entry/tests/control_desk.rs
+++ b/crates/stair-entry/tests/control_desk.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use stair_entry::control::turns::Desk;
-use stair_policy::load_order::Options;
+use stair_policy::load_slots::Options;
 use stair_types::TierRank;
 use tokio::time::{
     Instant,
--- a/crates/stair-policy/examples/measure/cost.rs
+++ b/crates/stair-policy/examples/measure/cost.rs
@@ -17,18 +17,18 @@
         self,
         Candidate, //
     },
-    keep::{
+    keep_alive::{
         self,
-        Keep, //
+        KeepAlive, //
     },
-    load_order::{
+    load_slots::{
         self,
-        Turns, //
+        LoadSlots, //
     },
-    place::{
+    placement::{
         self,
+        ExistingGrant,
         Fleet,
-        Held,
         ModelInfo,
         TargetInfo, //
     },
@@ -40,10 +40,10 @@
         TierOptions, //
     },
     retry::Budget,
-    shift::{
+    traffic_weights::{
         self,
         Outcome,
-        Shift, //
+        TrafficWeights, //
     },
 };
 use stair_types::{
@@ -90,12 +90,12 @@
     for (targets, centres) in [(18, 3), (1_000, 11), (12_000, 11)] {
         placements(targets, centres);
     }
-    turns(30);
-    turns(430);
-    keeps(148);
-    keeps(16_430);
-    shifts(18);
-    shifts(12_000);
+    load_slots_cost(30);
+    load_slots_cost(430);
+    keep_alive_cost(148);
+    keep_alive_cost(16_430);
+    traffic_weights_cost(18);
+    traffic_weights_cost(12_000);
     let mut budget = Budget::new(Default::default());
     let cost = nanos(|_| {
         budget.request();
@@ -173,7 +173,7 @@
         live: true,
     };
     let fleet = Fleet::new((0..targets).map(target).collect());
-    let opts = place::Options::default();
+    let opts = placement::Options::default();
     let size = format!("{targets} targets in {centres} data centres");
     let model = |n: u32, grants| ModelInfo {
         name_hash: hash(n + 1_000_000),
@@ -182,15 +182,15 @@
         grants,
     };
     let cost = nanos(|n| {
-        black_box(place::changes(&opts, &fleet, &model(n, &[])));
+        black_box(placement::changes(&opts, &fleet, &model(n, &[])));
     });
     line("place: three new grants", &size, cost);
-    let held = [0, 1, 2].map(|k| Held {
+    let held = [0, 1, 2].map(|k| ExistingGrant {
         target: TargetKey(k),
         revoking: false,
     });
     let cost = nanos(|n| {
-        black_box(place::changes(&opts, &fleet, &model(n, &held)));
+        black_box(placement::changes(&opts, &fleet, &model(n, &held)));
     });
     line("place: nothing to change", &size, cost);
 }
@@ -199,12 +199,12 @@
     xxhash_rust::xxh3::xxh3_64(&n.to_le_bytes())
 }
 
-fn turns(waiting: u32) {
-    let mut t = Turns::new(load_order::Options {
+fn load_slots_cost(waiting: u32) {
+    let mut t = LoadSlots::new(load_slots::Options {
         loads_per_second: 1e9,
         ..Default::default()
     });
-    let ask = |t: &mut Turns<u32>, key: u32| {
+    let ask = |t: &mut LoadSlots<u32>, key: u32| {
         let deadline = Duration::from_millis(u64::from(key * 7_919 % 60_000));
         t.request(Duration::ZERO, key, TierRank((key % 3) as u8), deadline);
     };
@@ -224,17 +224,17 @@
     );
 }
 
-fn keeps(models: u32) {
-    let mut keep = Keep::new(keep::Options::default());
-    let cost = keep::Cost {
+fn keep_alive_cost(models: u32) {
+    let mut keep_alive = KeepAlive::new(keep_alive::Options::default());
+    let cost = keep_alive::Cost {
         cold_start: Duration::from_secs(20),
-        share: 1.0,
+        memory_fraction: 1.0,
     };
     let spent = nanos(|n| {
         let model = ModelKey(n % models);
         let now = Duration::from_secs(u64::from(n));
-        keep.used(model, now);
-        black_box(keep.idle_until(model, now, &cost));
+        keep_alive.used(model, now);
+        black_box(keep_alive.idle_until(model, now, &cost));
     });
     line(
         "keep: used and idle until",
@@ -243,15 +243,15 @@
     );
 }
 
-fn shifts(targets: u32) {
-    let mut s = Shift::new(shift::Options::default());
+fn traffic_weights_cost(targets: u32) {
+    let mut s = TrafficWeights::new(traffic_weights::Options::default());
     let latency = Duration::from_millis(100);
     for t in 0..targets {
-        s.observe(TargetKey(t), latency, Outcome::Answered);
+        s.observe(TargetKey(t), latency, Outcome::Completed);
     }
     let cost = nanos(|n| {
         let target = TargetKey(n.wrapping_mul(7_919) % targets);
-        s.observe(target, latency, Outcome::Answered);
+        s.observe(target, latency, Outcome::Completed);
         black_box(s.weight(target));
     });
     line(
--- a/crates/stair-policy/examples/measure/dispatch.rs
+++ b/crates/stair-policy/examples/measure/dispatch.rs
@@ -11,13 +11,13 @@
     choose::{
         Candidate,
         Options,
+        affinity_target, //
         order,
-        prefix_home, //
     },
-    shift::{
-        Options as ShiftOptions,
+    traffic_weights::{
+        Options as WeightOptions,
         Outcome,
-        Shift, //
+        TrafficWeights, //
     },
 };
 use stair_types::TargetKey;
@@ -48,8 +48,8 @@
     Affinity,
     /// The choice under test without weights.
     Choose,
-    /// With the weights of `shift`.
-    Shift,
+    /// With the weights of `traffic_weights`.
+    TrafficWeights,
     /// With weights by the paper's rule.
     Paper(Mean),
 }
@@ -120,7 +120,7 @@
     rng: StdRng,
     in_flight: Vec<u16>,
     turn: usize,
-    shift: Shift,
+    traffic_weights: TrafficWeights,
     paper: Detector,
 }
 
@@ -182,7 +182,7 @@
             rng: StdRng::seed_from_u64(e as u64),
             in_flight: vec![0; scenario.targets],
             turn: e,
-            shift: Shift::new(ShiftOptions::default()),
+            traffic_weights: TrafficWeights::new(WeightOptions::default()),
             paper: Detector::new(scenario.targets, rule.mean()),
         });
         Self {
@@ -214,7 +214,9 @@
             let entry = &mut self.entries[a.entry];
             entry.in_flight[a.target] -= 1;
             let key = TargetKey(a.target as u32);
-            entry.shift.observe(key, secs(a.run), Outcome::Answered);
+            entry
+                .traffic_weights
+                .observe(key, secs(a.run), Outcome::Completed);
             entry.paper.observe(a.target, a.run);
             for t in 1..self.scenario.targets {
                 let weight = entry.weight(self.rule, t);
@@ -297,7 +299,7 @@
 
     fn home(&self, prefix: usize) -> Option<usize> {
         let targets = (0..self.scenario.targets as u32).map(|t| (TargetKey(t), u64::from(t)));
-        prefix_home(prefix as u64, targets).map(|k| k.0 as usize)
+        affinity_target(prefix as u64, targets).map(|k| k.0 as usize)
     }
 
     fn pick(&mut self, now: f64, entry: usize, prefix: Option<usize>) -> usize {
@@ -320,7 +322,11 @@
                 turned.min_by_key(|t| e.in_flight[*t]).unwrap_or(0)
             }
             Rule::Home => home.unwrap_or(0),
-            Rule::Oracle | Rule::Affinity | Rule::Choose | Rule::Shift | Rule::Paper(_) => {
+            Rule::Oracle
+            | Rule::Affinity
+            | Rule::Choose
+            | Rule::TrafficWeights
+            | Rule::Paper(_) => {
                 let candidates: Vec<Candidate> = all
                     .filter(|t| *t > 0 || !avoid)
                     .map(|t| Candidate {
@@ -344,7 +350,7 @@
 impl Entry {
     fn weight(&self, rule: Rule, target: usize) -> f32 {
         match rule {
-            Rule::Shift => self.shift.weight(TargetKey(target as u32)),
+            Rule::TrafficWeights => self.traffic_weights.weight(TargetKey(target as u32)),
             Rule::Paper(_) => self.paper.weight(target),
             _ => 1.0,
         }
--- a/crates/stair-policy/examples/measure/idle.rs
+++ b/crates/stair-policy/examples/measure/idle.rs
@@ -5,9 +5,9 @@
     SeedableRng,
     rngs::StdRng, //
 };
-use stair_policy::keep::{
+use stair_policy::keep_alive::{
     Cost,
-    Keep,
+    KeepAlive,
     Options, //
 };
 use stair_types::ModelKey;
@@ -49,7 +49,7 @@
     fn cost(&self) -> Cost {
         Cost {
             cold_start: secs(self.cold_start),
-            share: self.size,
+            memory_fraction: self.size,
         }
     }
 }
@@ -128,7 +128,7 @@
         cold: Samples::new(),
         cold_seconds: 0.0,
     };
-    let mut keep = Keep::new(Options {
+    let mut keep_alive = KeepAlive::new(Options {
         cold_start_weight: match rule {
             Rule::Histogram(weight) => weight,
             _ => 1.0,
@@ -141,7 +141,7 @@
         let mut kept_until = 0.0;
         let mut last = 0.0;
         for asked in d.asked.iter().copied() {
-            keep.used(model, secs(asked));
+            keep_alive.used(model, secs(asked));
             let cold = asked > kept_until;
             report.cold.add(if cold { d.cold_start } else { 0.0 });
             if cold {
@@ -155,7 +155,9 @@
                 Rule::SkiRental(weight) => {
                     asked + (weight * d.cold_start / d.size).clamp(5.0, MAX_IDLE)
                 }
-                Rule::Histogram(_) => keep.idle_until(model, secs(asked), &d.cost()).as_secs_f64(),
+                Rule::Histogram(_) => keep_alive
+                    .idle_until(model, secs(asked), &d.cost())
+                    .as_secs_f64(),
             };
         }
         report.idle_hours += (kept_until.min(SPAN) - last).max(0.0) * d.size / 3_600.0;
--- a/crates/stair-policy/examples/measure/loads.rs
+++ b/crates/stair-policy/examples/measure/loads.rs
@@ -5,9 +5,9 @@
     SeedableRng,
     rngs::StdRng, //
 };
-use stair_policy::load_order::{
+use stair_policy::load_slots::{
+    LoadSlots, //
     Options,
-    Turns, //
 };
 use stair_types::TierRank;
 
@@ -37,7 +37,7 @@
 enum Order {
     AllAtOnce,
     FirstCome,
-    Turns,
+    LoadSlots,
 }
 
 /// A store shared by the running loads: four at full speed, more share that speed.
@@ -72,7 +72,7 @@
 }
 
 fn run(loads: &mut [Load], rate: f64, order: Order, slow_until: f64) -> f64 {
-    let mut turns: Turns<usize> = Turns::new(Options {
+    let mut turns: LoadSlots<usize> = LoadSlots::new(Options {
         loads_per_second: rate,
         full_speed_loads: FULL_SPEED as u16,
         ..Options::default()
@@ -101,7 +101,7 @@
                     started += 1;
                 }
             }
-            Order::Turns => {
+            Order::LoadSlots => {
                 running.iter().for_each(|l| {
                     turns.renew(secs(now), *l);
                 });
@@ -143,7 +143,7 @@
     let orders = [
         ("all at once (baseline)", Order::AllAtOnce),
         ("first come, 4 at once", Order::FirstCome),
-        ("turns", Order::Turns),
+        ("turns", Order::LoadSlots),
     ];
     for rate in [1.5, 4.0] {
         for slow_until in [0.0, 20.0] {
--- a/crates/stair-policy/examples/measure/paper.rs
+++ b/crates/stair-policy/examples/measure/paper.rs
@@ -1,5 +1,5 @@
 //! The detection rule of "Providing Predictive Self-Healing for Web Services: A QoS Monitoring and
-//! Analysis-based Approach", as a candidate beside the plain outlier rule of `shift`.
+//! Analysis-based Approach", as a candidate beside the plain outlier rule of `traffic_weights`.
 //!
 //! A target is degraded after so many successive execution times above the mean plus a tolerated
 //! delay, which is the standard deviation. Execution time is told apart from communication by
--- a/crates/stair-policy/examples/measure/placing.rs
+++ b/crates/stair-policy/examples/measure/placing.rs
@@ -1,9 +1,9 @@
 //! Grants over a fleet, and what moves when VMs are replaced.
 
-use stair_policy::place::{
+use stair_policy::placement::{
     Change,
+    ExistingGrant,
     Fleet,
-    Held,
     ModelInfo,
     Options,
     TargetInfo,
@@ -26,7 +26,7 @@
     /// The least granted of all targets.
     LeastGranted,
     /// The rule under test with so many probes.
-    Place(u16),
+    Placement(u16),
 }
 
 #[derive(Clone, Copy)]
@@ -88,20 +88,20 @@
             .map(|t| (hash(t.name_hash, name_hash), t.key))
             .collect(),
         Rule::LeastGranted => others().map(|t| (t.granted_mib, t.key)).collect(),
-        Rule::Place(probes) => return by_place(probes, size, fleet, model, held),
+        Rule::Placement(probes) => return by_placement(probes, size, fleet, model, held),
     };
     ranked.sort_unstable();
     ranked.iter().take(free).map(|r| r.1).collect()
 }
 
-fn by_place(
+fn by_placement(
     probes: u16,
     size: Size,
     fleet: &Fleet,
     model: u32,
     held: &[TargetKey],
 ) -> Vec<TargetKey> {
-    let held = held.iter().map(|k| Held {
+    let held = held.iter().map(|k| ExistingGrant {
         target: *k,
         revoking: false,
     });
@@ -182,10 +182,10 @@
     let rules = [
         ("rendezvous over all (baseline)", Rule::Rendezvous),
         ("least granted of all (baseline)", Rule::LeastGranted),
-        ("place, 1 probe", Rule::Place(1)),
-        ("place, 2 probes", Rule::Place(2)),
-        ("place, 3 probes", Rule::Place(3)),
-        ("place, 6 probes", Rule::Place(6)),
+        ("place, 1 probe", Rule::Placement(1)),
+        ("place, 2 probes", Rule::Placement(2)),
+        ("place, 3 probes", Rule::Placement(3)),
+        ("place, 6 probes", Rule::Placement(6)),
     ];
     for size in sizes {
         for (name, rule) in rules {
--- a/crates/stair-policy/examples/measure/slow.rs
+++ b/crates/stair-policy/examples/measure/slow.rs
@@ -22,7 +22,7 @@
     ("least in flight", Rule::LeastInFlight),
     ("choose, no weights", Rule::Choose),
     ("choose, target 0 left out by hand (bound)", Rule::Oracle),
-    ("choose + shift (outlier rule)", Rule::Shift),
+    ("choose + shift (outlier rule)", Rule::TrafficWeights),
     (
         "choose + paper, mean on the fly",
         Rule::Paper(Mean::OnTheFly),
@@ -76,7 +76,7 @@
     }
 }
 
-/// The outlier rule of `shift` and the paper's, over ten seeds.
+/// The outlier rule of `traffic_weights` and the paper's, over ten seeds.
 pub(crate) fn detection() {
     head(
         "The outlier rule and the paper's rule",
--- a/crates/stair-policy/src/backoff.rs
+++ b/crates/stair-policy/src/backoff.rs
@@ -18,7 +18,7 @@
 /// which the queue drains.
 pub fn retry_after(expected_drain: Duration, spread: u64) -> Duration {
     let base = expected_drain.clamp(MIN_RETRY_AFTER, MAX_RETRY_AFTER / 2);
-    let part = crate::hash::mix(spread, 0) >> 32;
-    let extra = (base.as_nanos() * u128::from(part)) >> 32;
+    let fraction = crate::hash::mix(spread, 0) >> 32;
+    let extra = (base.as_nanos() * u128::from(fraction)) >> 32;
     base + Duration::from_nanos(u64::try_from(extra).unwrap_or(u64::MAX))
 }
--- a/crates/stair-policy/src/choose.rs
+++ b/crates/stair-policy/src/choose.rs
@@ -28,7 +28,7 @@
     /// prefix overloads its home, and computing the prefix again is cheaper than waiting.
     pub affinity_bound: Duration,
     /// What it costs to leave the data centre.
-    pub far: Duration,
+    pub cross_data_centre_cost: Duration,
 }
 
 impl Default for Options {
@@ -38,7 +38,7 @@
             per_in_flight: Duration::from_millis(50),
             affinity_gain: Duration::from_millis(300),
             affinity_bound: Duration::from_millis(300),
-            far: Duration::from_millis(4),
+            cross_data_centre_cost: Duration::from_millis(4),
         }
     }
 }
@@ -62,7 +62,7 @@
     pub prefix_affinity: bool,
     /// Whether the target is in this entry's data centre.
     pub same_data_centre: bool,
-    /// The target's share, from [`shift`](crate::shift): 1 is a full share.
+    /// The target's share, from [`traffic_weights`](crate::traffic_weights): 1 is a full share.
     pub weight: f32,
 }
 
@@ -77,11 +77,11 @@
             true => queue,
             false => queue.max(self.cold_start),
         };
-        let far = match self.same_data_centre {
+        let cross_data_centre_cost = match self.same_data_centre {
             true => Duration::ZERO,
-            false => opts.far,
+            false => opts.cross_data_centre_cost,
         };
-        start + far
+        start + cross_data_centre_cost
     }
 
     fn is_stale(&self, opts: &Options) -> bool {
@@ -92,7 +92,7 @@
 /// Tells whether `target` is the home of a prompt's prefix among the candidates.
 ///
 /// Rendezvous hashing: a target that comes or goes moves only the prefixes whose home it is.
-pub fn prefix_home<I>(prefix_hash: u64, candidates: I) -> Option<TargetKey>
+pub fn affinity_target<I>(prefix_hash: u64, candidates: I) -> Option<TargetKey>
 where
     I: IntoIterator<Item = (TargetKey, u64)>,
 {
@@ -110,7 +110,7 @@
     let mut ranked: Vec<Ranked<'_>> = candidates.iter().map(|c| Ranked::new(opts, c)).collect();
     apply_affinity(opts, &mut ranked);
     for r in &mut ranked {
-        r.demoted = !keeps_share(r.candidate.weight, candidates.len(), rng);
+        r.demoted = !takes_part(r.candidate.weight, candidates.len(), rng);
         r.tie = rng.next_u32();
     }
     ranked.sort_unstable_by_key(|r| (r.demoted, r.cost, r.tie));
@@ -154,7 +154,7 @@
 /// A target with little weight has little in flight, and so looks best whenever it takes part. It
 /// would get its weight's part of all requests, not of its fair share of them; so its chance is
 /// less than its weight, the more so the more candidates there are.
-fn keeps_share<R>(weight: f32, candidates: usize, rng: &mut R) -> bool
+fn takes_part<R>(weight: f32, candidates: usize, rng: &mut R) -> bool
 where
     R: Rng + ?Sized,
 {
--- a/crates/stair-policy/src/keep.rs
+++ b/crates/stair-policy/src/keep_alive.rs
@@ -47,11 +47,11 @@
     pub cold_start: Duration,
     /// The part of the accelerator's memory that it holds, up to 1. An adapter that holds a
     /// twentieth is worth keeping twenty times as long as a model that fills the accelerator.
-    pub share: f64,
+    pub memory_fraction: f64,
 }
 
 /// Least share counted; also guards a division by zero.
-const MIN_SHARE: f64 = 0.001;
+const MIN_MEMORY_FRACTION: f64 = 0.001;
 
 /// Buckets of idle times; each is half as wide again as the one before, the last is open.
 const BUCKETS: usize = 20;
@@ -67,7 +67,7 @@
 
 /// The idle times of one model: 32 bytes.
 #[derive(Debug, Clone, Copy, Default)]
-struct Habit {
+struct IdleHistogram {
     /// When it was last used or finished, in milliseconds since the process's start, plus one; 0 is never.
     last_used_ms: u64,
     counts: [u8; BUCKETS],
@@ -75,18 +75,18 @@
 
 /// The idle times of all models of one process.
 #[derive(Debug, Clone)]
-pub struct Keep {
+pub struct KeepAlive {
     opts: Options,
     /// By model key.
-    habits: Vec<Habit>,
+    histograms: Vec<IdleHistogram>,
 }
 
-impl Keep {
+impl KeepAlive {
     /// Makes a state that has seen nothing.
     pub fn new(opts: Options) -> Self {
         Self {
             opts,
-            habits: Vec::new(),
+            histograms: Vec::new(),
         }
     }
 
@@ -101,38 +101,39 @@
     /// the many short ones of a burst would push out the few long ones that matter.
     pub fn used(&mut self, model: ModelKey, now: Duration) {
         let min_idle = self.opts.min_idle;
-        let habit = self.habit(model);
-        let last = habit.last_used().unwrap_or(now);
+        let histogram = self.histogram(model);
+        let last = histogram.last_used().unwrap_or(now);
         let idle = now.saturating_sub(last);
         if idle > min_idle {
-            habit.add(idle);
+            histogram.add(idle);
         }
-        habit.set_last_used(now);
+        histogram.set_last_used(now);
     }
 
     /// Notes that a request for the model has ended: the idle time starts anew.
     pub fn finished(&mut self, model: ModelKey, now: Duration) {
-        self.habit(model).set_last_used(now);
+        self.histogram(model).set_last_used(now);
     }
 
-    fn habit(&mut self, model: ModelKey) -> &mut Habit {
+    fn histogram(&mut self, model: ModelKey) -> &mut IdleHistogram {
         let at = model.0 as usize;
-        if at >= self.habits.len() {
-            self.habits.resize(at + 1, Habit::default());
+        if at >= self.histograms.len() {
+            self.histograms.resize(at + 1, IdleHistogram::default());
         }
-        &mut self.habits[at]
+        &mut self.histograms[at]
     }
 
     /// Returns until when the model is kept if it is not used before.
     pub fn idle_until(&self, model: ModelKey, now: Duration, cost: &Cost) -> Duration {
-        let habit = self.habits.get(model.0 as usize);
-        let last_used = habit.and_then(Habit::last_used).unwrap_or(now);
-        let weight = self.opts.cold_start_weight.max(0.0) / cost.share.max(MIN_SHARE);
-        let miss = cost.cold_start.as_secs_f64() * weight;
-        let seen = habit.filter(|h| h.samples() >= u32::from(self.opts.min_samples));
+        let histogram = self.histograms.get(model.0 as usize);
+        let last_used = histogram.and_then(IdleHistogram::last_used).unwrap_or(now);
+        let weight =
+            self.opts.cold_start_weight.max(0.0) / cost.memory_fraction.max(MIN_MEMORY_FRACTION);
+        let cold_start_cost = cost.cold_start.as_secs_f64() * weight;
+        let seen = histogram.filter(|h| h.samples() >= u32::from(self.opts.min_samples));
         let idle = match seen {
-            Some(h) => h.cheapest(miss, &self.opts),
-            None => miss,
+            Some(h) => h.cheapest(cold_start_cost, &self.opts),
+            None => cold_start_cost,
         };
         let min = self.opts.min_idle.as_secs_f64();
         let max = self.opts.max_idle.as_secs_f64().max(min);
@@ -140,7 +141,7 @@
     }
 }
 
-impl Habit {
+impl IdleHistogram {
     fn last_used(&self) -> Option<Duration> {
         let ms = self.last_used_ms.checked_sub(1)?;
         Some(Duration::from_millis(ms))
@@ -169,10 +170,10 @@
     ///
     /// Keeping for `t` costs the idle time itself when the model is used before `t`, and `t` plus
     /// the cold start when it is not.
-    fn cheapest(&self, miss: f64, opts: &Options) -> f64 {
+    fn cheapest(&self, cold_start_cost: f64, opts: &Options) -> f64 {
         let mut best = opts.min_idle.as_secs_f64();
         let mut left = f64::from(self.samples());
-        let mut best_cost = left * (best + miss);
+        let mut best_cost = left * (best + cold_start_cost);
         let mut hits_idle = 0.0;
         for (at, count) in self.counts.iter().enumerate() {
             let t = bound(at);
@@ -182,7 +183,7 @@
             let count = f64::from(*count);
             left -= count;
             hits_idle += count * middle(at);
-            let cost = hits_idle + left * (t + miss);
+            let cost = hits_idle + left * (t + cold_start_cost);
             if cost < best_cost {
                 best_cost = cost;
                 best = t;
--- a/crates/stair-policy/src/lib.rs
+++ b/crates/stair-policy/src/lib.rs
@@ -7,10 +7,10 @@
 //!
 //! - [`queue`]: admits, orders and expires the requests that wait in front of one engine.
 //! - [`choose`]: orders the targets that may serve a request.
-//! - [`place`]: decides which targets are granted a model.
-//! - [`load_order`]: shares out the weight store's rate.
-//! - [`keep`]: decides how long an idle model stays loaded.
-//! - [`shift`]: takes share from slow or failing targets and gives it back.
+//! - [`placement`]: decides which targets are granted a model.
+//! - [`load_slots`]: shares out the weight store's rate.
+//! - [`keep_alive`]: decides how long an idle model stays loaded.
+//! - [`traffic_weights`]: takes share from slow or failing targets and gives it back.
 //! - [`retry`]: bounds retries to a share of the requests.
 //! - [`backoff`]: tells the refused when to come back.
 #![deny(missing_docs)]
@@ -19,9 +19,9 @@
 pub mod backoff;
 pub mod choose;
 mod hash;
-pub mod keep;
-pub mod load_order;
-pub mod place;
+pub mod keep_alive;
+pub mod load_slots;
+pub mod placement;
 pub mod queue;
 pub mod retry;
-pub mod shift;
+pub mod traffic_weights;
--- a/crates/stair-policy/src/load_order.rs
+++ b/crates/stair-policy/src/load_slots.rs
@@ -40,7 +40,7 @@
 }
 
 #[derive(Debug, Clone, Copy)]
-struct Waiting<K> {
+struct Waiter<K> {
     key: K,
     rank: TierRank,
     deadline: Duration,
@@ -48,22 +48,22 @@
 }
 
 #[derive(Debug, Clone, Copy)]
-struct Running<K> {
+struct Lease<K> {
     key: K,
-    heard: Duration,
+    renewed_at: Duration,
 }
 
 /// The loads that wait for a turn and those that have one.
 #[derive(Debug, Clone)]
-pub struct Turns<K> {
+pub struct LoadSlots<K> {
     opts: Options,
-    waiting: Vec<Waiting<K>>,
-    running: Vec<Running<K>>,
+    waiting: Vec<Waiter<K>>,
+    running: Vec<Lease<K>>,
     /// When the rate allows the next start.
     next_start: Duration,
 }
 
-impl<K> Turns<K>
+impl<K> LoadSlots<K>
 where
     K: Copy + Eq,
 {
@@ -95,7 +95,7 @@
                 w.rank = w.rank.min(rank);
                 w.deadline = w.deadline.min(deadline);
             }
-            None => self.waiting.push(Waiting {
+            None => self.waiting.push(Waiter {
                 key,
                 rank,
                 deadline,
@@ -113,14 +113,17 @@
         let waiting = self.waiting.iter().enumerate();
         let (at, _) = waiting.min_by_key(|(_, w)| self.urgency(now, w))?;
         let key = self.waiting.swap_remove(at).key;
-        self.running.push(Running { key, heard: now });
+        self.running.push(Lease {
+            key,
+            renewed_at: now,
+        });
         // Time without starts is not saved up: a burst after a pause would exceed the store's
         // rate just when many models wake.
-        self.next_start = now + self.gap();
+        self.next_start = now + self.start_interval();
         Some(key)
     }
 
-    /// Returns when [`Turns::next`] is worth calling again, if something waits for the rate only.
+    /// Returns when [`LoadSlots::next`] is worth calling again, if something waits for the rate only.
     ///
     /// When all turns are taken, that is when one of them ends or expires.
     pub fn next_at(&self) -> Option<Duration> {
@@ -130,8 +133,8 @@
         if self.running.len() < usize::from(self.opts.full_speed_loads) {
             return Some(self.next_start);
         }
-        let oldest = self.running.iter().map(|r| r.heard).min();
-        oldest.map(|heard| self.next_start.max(heard + self.opts.holder_timeout))
+        let oldest = self.running.iter().map(|r| r.renewed_at).min();
+        oldest.map(|renewed_at| self.next_start.max(renewed_at + self.opts.holder_timeout))
     }
 
     /// Notes that the holder of a turn is alive; tells whether it has one.
@@ -140,7 +143,7 @@
     /// since to cut it would waste what the store has sent.
     pub fn renew(&mut self, now: Duration, key: K) -> bool {
         let found = self.running.iter_mut().find(|r| r.key == key);
-        found.map(|r| r.heard = now).is_some()
+        found.map(|r| r.renewed_at = now).is_some()
     }
 
     /// Ends a turn: the load has finished or failed.
@@ -170,10 +173,10 @@
     /// and after four such deaths nothing would ever be loaded again.
     fn expire(&mut self, now: Duration) {
         let timeout = self.opts.holder_timeout;
-        self.running.retain(|r| r.heard + timeout > now);
+        self.running.retain(|r| r.renewed_at + timeout > now);
     }
 
-    fn urgency(&self, now: Duration, w: &Waiting<K>) -> Urgency {
+    fn urgency(&self, now: Duration, w: &Waiter<K>) -> Urgency {
         let waited = now.saturating_sub(w.since).as_secs_f64();
         let step = self.opts.promote_after.as_secs_f64().max(MIN_STEP_SECS);
         // The cast saturates.
@@ -185,7 +188,7 @@
         }
     }
 
-    fn gap(&self) -> Duration {
+    fn start_interval(&self) -> Duration {
         let rate = self.opts.loads_per_second.max(MIN_RATE);
         Duration::from_secs_f64(1.0 / rate)
     }
--- a/crates/stair-policy/src/place.rs
+++ b/crates/stair-policy/src/placement.rs
@@ -74,7 +74,7 @@
 
 /// A grant that a model has.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Held {
+pub struct ExistingGrant {
     /// Its target.
     pub target: TargetKey,
     /// Whether it is being revoked and not yet confirmed as unloaded.
@@ -91,7 +91,7 @@
     /// Replicas that were decided.
     pub replicas: u16,
     /// All its grants, also those being revoked.
-    pub grants: &'a [Held],
+    pub grants: &'a [ExistingGrant],
 }
 
 /// One change of a model's grants.
@@ -108,12 +108,12 @@
 pub struct Fleet {
     targets: Vec<TargetInfo>,
     /// Sorted by key; where the target stands in `targets`.
-    by_key: Vec<Place>,
+    by_key: Vec<KeyIndex>,
     data_centres: Vec<Span>,
 }
 
 #[derive(Debug, Clone, Copy)]
-struct Place {
+struct KeyIndex {
     key: TargetKey,
     index: usize,
 }
@@ -128,7 +128,7 @@
 
 /// A data centre with the replicas that a model has there.
 #[derive(Debug, Clone, Copy)]
-struct Centre {
+struct DataCentreReplicas {
     holders: usize,
     span: Span,
 }
@@ -138,8 +138,8 @@
     pub fn new(mut targets: Vec<TargetInfo>) -> Self {
         targets.sort_unstable_by_key(|t| (t.data_centre, t.name_hash, t.key));
         let places = targets.iter().enumerate();
-        let mut by_key: Vec<Place> = places
-            .map(|(index, t)| Place { key: t.key, index })
+        let mut by_key: Vec<KeyIndex> = places
+            .map(|(index, t)| KeyIndex { key: t.key, index })
             .collect();
         by_key.sort_unstable_by_key(|p| p.key);
         let mut data_centres: Vec<Span> = Vec::new();
@@ -205,41 +205,44 @@
 /// holders stay unless they are not live, cannot hold the model, or are too many.
 pub fn changes(opts: &Options, fleet: &Fleet, model: &ModelInfo<'_>) -> Vec<Change> {
     let mut out = Vec::new();
-    let mut kept: Vec<TargetInfo> = Vec::new();
+    let mut retained: Vec<TargetInfo> = Vec::new();
     for held in model.grants.iter().filter(|h| !h.revoking) {
         match fleet.get(held.target).filter(|t| t.may_keep(model)) {
-            Some(target) => kept.push(*target),
+            Some(target) => retained.push(*target),
             None => out.push(Change::Revoke(held.target)),
         }
     }
-    while kept.len() > usize::from(model.replicas) {
-        let Some(at) = least_useful(&kept) else {
+    while retained.len() > usize::from(model.replicas) {
+        let Some(at) = replica_to_revoke(&retained) else {
             break;
         };
-        out.push(Change::Revoke(kept.swap_remove(at).key));
+        out.push(Change::Revoke(retained.swap_remove(at).key));
     }
     let mut free = usize::from(model.replicas).saturating_sub(model.grants.len());
     while free > 0 {
-        let Some(target) = find(opts, fleet, model, &kept) else {
+        let Some(target) = find(opts, fleet, model, &retained) else {
             break;
         };
         out.push(Change::Grant(target.key));
-        kept.push(target);
+        retained.push(target);
         free -= 1;
     }
     out
 }
 
 /// Picks the holder to give up: in the data centre with most holders, the fullest target.
-fn least_useful(kept: &[TargetInfo]) -> Option<usize> {
-    (0..kept.len()).max_by_key(|i| {
-        let target = &kept[*i];
-        (holders_in(kept, target.data_centre), target.fullness())
+fn replica_to_revoke(retained: &[TargetInfo]) -> Option<usize> {
+    (0..retained.len()).max_by_key(|i| {
+        let target = &retained[*i];
+        (holders_in(retained, target.data_centre), target.fullness())
     })
 }
 
-fn holders_in(kept: &[TargetInfo], data_centre: u16) -> usize {
-    kept.iter().filter(|t| t.data_centre == data_centre).count()
+fn holders_in(retained: &[TargetInfo], data_centre: u16) -> usize {
+    retained
+        .iter()
+        .filter(|t| t.data_centre == data_centre)
+        .count()
 }
 
 /// Finds the target for one more replica: the data centres with fewest holders first, and in
@@ -248,19 +251,19 @@
     opts: &Options,
     fleet: &Fleet,
     model: &ModelInfo<'_>,
-    kept: &[TargetInfo],
+    retained: &[TargetInfo],
 ) -> Option<TargetInfo> {
-    let centres = fleet.data_centres.iter().map(|span| Centre {
-        holders: holders_in(kept, span.data_centre),
+    let centres = fleet.data_centres.iter().map(|span| DataCentreReplicas {
+        holders: holders_in(retained, span.data_centre),
         span: *span,
     });
-    let mut centres: Vec<Centre> = centres.collect();
+    let mut centres: Vec<DataCentreReplicas> = centres.collect();
     centres.sort_by_key(|c| c.holders);
     let mut groups = centres.chunk_by(|a, b| a.holders == b.holders);
     groups.find_map(|group| {
         let best = group
             .iter()
-            .filter_map(|c| candidate(opts, fleet, model, kept, &c.span));
+            .filter_map(|c| candidate(opts, fleet, model, retained, &c.span));
         best.min_by_key(|t| (t.fullness(), mix(model.name_hash, t.name_hash)))
             .copied()
     })
@@ -277,13 +280,13 @@
     opts: &Options,
     fleet: &'a Fleet,
     model: &ModelInfo<'_>,
-    kept: &[TargetInfo],
+    retained: &[TargetInfo],
     span: &Span,
 ) -> Option<&'a TargetInfo> {
     let targets = &fleet.targets[span.start..span.end];
     let fit = |t: &&TargetInfo| {
         t.fits(opts, model.memory_mib)
-            && !kept.iter().any(|k| k.key == t.key)
+            && !retained.iter().any(|k| k.key == t.key)
             && !model.grants.iter().any(|h| h.target == t.key)
     };
     if targets.len() <= usize::from(opts.scan_up_to) {
@@ -291,7 +294,7 @@
         return targets.iter().filter(fit).min_by_key(order);
     }
     // Later replicas start elsewhere, or they would look at the targets of the first again.
-    let seed = mix(model.name_hash, kept.len() as u64);
+    let seed = mix(model.name_hash, retained.len() as u64);
     let probe = |n: u16| {
         let start = mix(seed, u64::from(n)) % targets.len() as u64;
         let (before, after) = targets.split_at(start as usize);
--- a/crates/stair-policy/src/retry.rs
+++ b/crates/stair-policy/src/retry.rs
@@ -28,7 +28,7 @@
     }
 }
 
-const COST: u64 = 100;
+const RETRY_COST: u64 = 100;
 
 /// Counts requests and retries of one process.
 ///
@@ -43,7 +43,7 @@
 impl Budget {
     /// Makes a budget that may spend its advance.
     pub fn new(opts: Options) -> Self {
-        let advance = u64::from(opts.advance) * COST;
+        let advance = u64::from(opts.advance) * RETRY_COST;
         Self {
             opts,
             credit: advance,
@@ -56,21 +56,21 @@
         let earned = u64::from(self.opts.percent);
         let repaid = earned.min(self.debt);
         self.debt -= repaid;
-        let max = u64::from(self.opts.max_saved.max(self.opts.advance)) * COST;
+        let max = u64::from(self.opts.max_saved.max(self.opts.advance)) * RETRY_COST;
         self.credit = (self.credit + earned - repaid).min(max);
     }
 
     /// Takes a retry from the budget, and tells whether it may be made.
     pub fn try_retry(&mut self) -> bool {
-        let allowed = self.credit >= COST;
+        let allowed = self.credit >= RETRY_COST;
         if allowed {
-            self.credit -= COST;
+            self.credit -= RETRY_COST;
         }
         allowed
     }
 
     /// Retries that could be made now.
-    pub fn left(&self) -> u64 {
-        self.credit / COST
+    pub fn available(&self) -> u64 {
+        self.credit / RETRY_COST
     }
 }
--- a/crates/stair-policy/src/shift.rs
+++ b/crates/stair-policy/src/traffic_weights.rs
@@ -20,21 +20,21 @@
     pub tolerated_ratio: f64,
     /// Share that the worst target keeps. Enough to see it recover within a minute or so; half of
     /// it made the recovery slower and p99 no better.
-    pub trickle: f32,
+    pub min_weight: f32,
     /// Weight of one observation in a target's average: about seven answers decide.
     pub smoothing: f64,
     /// Part of the way to the share deserved that one observation moves. The load taken from one
     /// target reaches the others over some answers, not at once.
-    pub step: f32,
+    pub step_fraction: f32,
 }
 
 impl Default for Options {
     fn default() -> Self {
         Self {
             tolerated_ratio: 1.5,
-            trickle: 0.02,
+            min_weight: 0.02,
             smoothing: 0.15,
-            step: 0.2,
+            step_fraction: 0.2,
         }
     }
 }
@@ -43,13 +43,13 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Outcome {
     /// It was answered.
-    Answered,
+    Completed,
     /// The target or the link to it failed. Refusals are not failures: they are load.
     Failed,
 }
 
 #[derive(Debug, Clone, Copy)]
-struct State {
+struct TargetStats {
     target: TargetKey,
     /// Average of the logarithm of latency: one very slow answer counts, and does not decide.
     log_latency: f64,
@@ -59,15 +59,15 @@
 
 /// The shares of the targets that one entry sends to.
 #[derive(Debug, Clone)]
-pub struct Shift {
+pub struct TrafficWeights {
     opts: Options,
     /// Sorted by target.
-    states: Vec<State>,
+    states: Vec<TargetStats>,
     median: Option<Median>,
     fail_rate: f64,
 }
 
-impl Shift {
+impl TrafficWeights {
     /// Makes a state in which all targets have their full share.
     pub fn new(opts: Options) -> Self {
         Self {
@@ -87,24 +87,24 @@
         let failed = f64::from(u8::from(outcome == Outcome::Failed));
         let log = latency.max(MIN_LATENCY).as_secs_f64().ln();
         self.fail_rate += (failed - self.fail_rate) * self.opts.smoothing;
-        if outcome == Outcome::Answered {
+        if outcome == Outcome::Completed {
             self.median.get_or_insert_with(|| Median::new(log)).add(log);
         }
         let at = self.find_or_add(target, log);
         let state = &mut self.states[at];
         state.fail_rate += (failed - state.fail_rate) * self.opts.smoothing;
-        if outcome == Outcome::Answered {
+        if outcome == Outcome::Completed {
             state.log_latency += (log - state.log_latency) * self.opts.smoothing;
         }
-        let deserved = self.deserved(&self.states[at]);
+        let deserved_weight = self.deserved_weight(&self.states[at]);
         let state = &mut self.states[at];
-        state.weight += (deserved - state.weight) * self.opts.step;
+        state.weight += (deserved_weight - state.weight) * self.opts.step_fraction;
     }
 
     /// Returns the target's share: 1 is the full one. A target not seen has it.
     pub fn weight(&self, target: TargetKey) -> f32 {
         let at = self.states.binary_search_by_key(&target, |s| s.target);
-        at.map_or(1.0, |i| self.states[i].weight.max(self.opts.trickle))
+        at.map_or(1.0, |i| self.states[i].weight.max(self.opts.min_weight))
     }
 
     /// Forgets a target that has gone or has a new incarnation.
@@ -115,14 +115,14 @@
     }
 
     /// Share by how many times slower than tolerated, and by failures beyond those of all.
-    fn deserved(&self, state: &State) -> f32 {
+    fn deserved_weight(&self, state: &TargetStats) -> f32 {
         let median = self.median.as_ref().map_or(state.log_latency, |m| m.value);
         let excess = state.log_latency - median - self.opts.tolerated_ratio.ln();
-        let by_latency = (-STEEPNESS * excess.max(0.0)).exp();
+        let by_latency = (-LATENCY_EXPONENT * excess.max(0.0)).exp();
         let failures = (state.fail_rate - self.fail_rate).max(0.0);
         let by_failures = (1.0 - failures).powi(4);
         let share = by_latency * by_failures;
-        (share as f32).max(self.opts.trickle)
+        (share as f32).max(self.opts.min_weight)
     }
 
     fn find_or_add(&mut self, target: TargetKey, log: f64) -> usize {
@@ -130,7 +130,7 @@
             Ok(at) => at,
             Err(at) => {
                 let log_latency = self.median.as_ref().map_or(log, |m| m.value);
-                let state = State {
+                let state = TargetStats {
                     target,
                     log_latency,
                     fail_rate: 0.0,
@@ -145,7 +145,7 @@
 
 /// Power with which the share falls beyond the tolerated ratio: a target three times slower than the
 /// others is down to the trickle. With half of it such a target kept enough to raise p99 by 8%.
-const STEEPNESS: f64 = 6.0;
+const LATENCY_EXPONENT: f64 = 6.0;
 
 /// Latencies below this are not told apart; also guards the logarithm of zero.
 const MIN_LATENCY: Duration = Duration::from_micros(100);
@@ -168,7 +168,7 @@
     }
 
     fn add(&mut self, observed: f64) {
-        let step = (observed - self.value).clamp(-MEDIAN_STEP, MEDIAN_STEP);
-        self.value += step;
+        let step_fraction = (observed - self.value).clamp(-MEDIAN_STEP, MEDIAN_STEP);
+        self.value += step_fraction;
     }
 }
--- a/crates/stair-policy/tests/choose.rs
+++ b/crates/stair-policy/tests/choose.rs
@@ -9,8 +9,8 @@
 use stair_policy::choose::{
     Candidate,
     Options,
+    affinity_target, //
     order,
-    prefix_home, //
 };
 use stair_types::TargetKey;
 
@@ -150,10 +150,10 @@
 fn home_is_stable() {
     let fleet: Vec<_> = (0..10).map(|k| (TargetKey(k), u64::from(k) * 77)).collect();
     for prefix in 0..100 {
-        let home = prefix_home(prefix, fleet.iter().copied()).unwrap();
+        let home = affinity_target(prefix, fleet.iter().copied()).unwrap();
         let lost = fleet[(home.0 as usize + 1) % 10].0;
         let rest = fleet.iter().copied().filter(|t| t.0 != lost);
-        assert_eq!(prefix_home(prefix, rest), Some(home));
+        assert_eq!(affinity_target(prefix, rest), Some(home));
     }
 }
 
@@ -162,7 +162,7 @@
     let mut homes = [0; 9];
     for prefix in 0..9_000 {
         let fleet = (0..9).map(|k| (TargetKey(k), u64::from(k)));
-        let home = prefix_home(prefix, fleet).unwrap();
+        let home = affinity_target(prefix, fleet).unwrap();
         homes[home.0 as usize] += 1;
     }
     assert!(homes.iter().all(|n| (850..1_150).contains(n)), "{homes:?}");
--- a/crates/stair-policy/tests/keep.rs
+++ b/crates/stair-policy/tests/keep_alive.rs
@@ -2,9 +2,9 @@
 
 use std::time::Duration;
 
-use stair_policy::keep::{
+use stair_policy::keep_alive::{
     Cost,
-    Keep,
+    KeepAlive,
     Options, //
 };
 use stair_types::ModelKey;
@@ -12,94 +12,94 @@
 const MODEL: ModelKey = ModelKey(3);
 const COST: Cost = Cost {
     cold_start: Duration::from_secs(20),
-    share: 1.0,
+    memory_fraction: 1.0,
 };
 
 fn secs(n: u64) -> Duration {
     Duration::from_secs(n)
 }
 
-fn keep(cold_start_weight: f64) -> Keep {
-    Keep::new(Options {
+fn keep_alive(cold_start_weight: f64) -> KeepAlive {
+    KeepAlive::new(Options {
         cold_start_weight,
         ..Options::default()
     })
 }
 
 /// Uses the model at each of the gaps in turn, and returns how long it is kept afterwards.
-fn kept_after(keep: &mut Keep, gaps: impl IntoIterator<Item = u64>) -> Duration {
+fn kept_after(keep_alive: &mut KeepAlive, gaps: impl IntoIterator<Item = u64>) -> Duration {
     let mut now = secs(0);
-    keep.used(MODEL, now);
+    keep_alive.used(MODEL, now);
     for gap in gaps {
         now += secs(gap);
-        keep.used(MODEL, now);
+        keep_alive.used(MODEL, now);
     }
-    keep.idle_until(MODEL, now, &COST) - now
+    keep_alive.idle_until(MODEL, now, &COST) - now
 }
 
 #[test]
 fn break_even_first() {
-    assert_eq!(kept_after(&mut keep(2.0), []), secs(40));
+    assert_eq!(kept_after(&mut keep_alive(2.0), []), secs(40));
 }
 
 #[test]
 fn bounds_kept() {
-    assert_eq!(kept_after(&mut keep(0.0), []), secs(5));
-    assert_eq!(kept_after(&mut keep(1_000.0), []), secs(600));
+    assert_eq!(kept_after(&mut keep_alive(0.0), []), secs(5));
+    assert_eq!(kept_after(&mut keep_alive(1_000.0), []), secs(600));
 }
 
 // An editor asks every half minute. Keeping for the break-even time of twenty seconds would pay
 // for the idle time and for the cold start each time.
 #[test]
 fn rhythm_learned() {
-    let kept = kept_after(&mut keep(1.0), [30; 20]);
+    let kept = kept_after(&mut keep_alive(1.0), [30; 20]);
     assert!(kept >= secs(30) || kept == secs(5), "{kept:?}");
-    let kept = kept_after(&mut keep(4.0), [30; 20]);
+    let kept = kept_after(&mut keep_alive(4.0), [30; 20]);
     assert!((secs(30)..secs(60)).contains(&kept), "{kept:?}");
 }
 
 // A model is asked for once in twenty minutes. Keeping it would only hold memory.
 #[test]
 fn rare_let_go() {
-    assert_eq!(kept_after(&mut keep(1.0), [1_200; 20]), secs(5));
+    assert_eq!(kept_after(&mut keep_alive(1.0), [1_200; 20]), secs(5));
 }
 
 // Requests come eight seconds apart in bursts, and the bursts twenty minutes apart.
 #[test]
 fn bursts_kept_through() {
     let gaps = (0..600).map(|n| if n % 10 == 9 { 1_200 } else { 8 });
-    let kept = kept_after(&mut keep(1.0), gaps);
+    let kept = kept_after(&mut keep_alive(1.0), gaps);
     assert!((secs(8)..secs(16)).contains(&kept), "{kept:?}");
 }
 
 #[test]
 fn habits_change() {
-    let mut keep = keep(4.0);
-    kept_after(&mut keep, [1_200; 200]);
-    let kept = kept_after(&mut keep, [30; 200]);
+    let mut keep_alive = keep_alive(4.0);
+    kept_after(&mut keep_alive, [1_200; 200]);
+    let kept = kept_after(&mut keep_alive, [30; 200]);
     assert!(kept >= secs(30), "{kept:?}");
 }
 
 // The checkpoint is in the host's memory, so that loading again takes a second.
 #[test]
 fn cheap_let_go() {
-    let keep = keep(2.0);
+    let keep_alive = keep_alive(2.0);
     let cost = Cost {
         cold_start: secs(1),
         ..COST
     };
-    let until = keep.idle_until(MODEL, secs(100), &cost);
+    let until = keep_alive.idle_until(MODEL, secs(100), &cost);
     assert_eq!(until, secs(105));
 }
 
 // An adapter holds a twentieth of the accelerator, so it is kept twenty times as long.
 #[test]
 fn small_kept() {
-    let keep = keep(1.0);
+    let keep_alive = keep_alive(1.0);
     let cost = Cost {
         cold_start: secs(2),
-        share: 0.05,
+        memory_fraction: 0.05,
     };
-    let until = keep.idle_until(MODEL, secs(0), &cost);
+    let until = keep_alive.idle_until(MODEL, secs(0), &cost);
     assert_eq!(until, secs(40));
 }
--- a/crates/stair-policy/tests/load_order.rs
+++ b/crates/stair-policy/tests/load_slots.rs
@@ -2,9 +2,9 @@
 
 use std::time::Duration;
 
-use stair_policy::load_order::{
+use stair_policy::load_slots::{
+    LoadSlots, //
     Options,
-    Turns, //
 };
 use stair_types::TierRank;
 
@@ -12,8 +12,8 @@
     Duration::from_millis(n)
 }
 
-fn turns() -> Turns<u32> {
-    Turns::new(Options {
+fn turns() -> LoadSlots<u32> {
+    LoadSlots::new(Options {
         loads_per_second: 2.0,
         full_speed_loads: 2,
         holder_timeout: ms(5_000),
@@ -21,7 +21,7 @@
     })
 }
 
-fn ask(t: &mut Turns<u32>, now: u64, key: u32, rank: u8, deadline: u64) {
+fn ask(t: &mut LoadSlots<u32>, now: u64, key: u32, rank: u8, deadline: u64) {
     t.request(ms(now), key, TierRank(rank), ms(deadline));
 }
 
--- a/crates/stair-policy/tests/place.rs
+++ b/crates/stair-policy/tests/placement.rs
@@ -1,10 +1,10 @@
 //! The placement of grants.
 
 use proptest::prelude::*;
-use stair_policy::place::{
+use stair_policy::placement::{
     Change,
+    ExistingGrant,
     Fleet,
-    Held,
     ModelInfo,
     Options,
     TargetInfo,
@@ -32,7 +32,7 @@
     Fleet::new(all.map(|k| target(k, (k % data_centres) as u16)).collect())
 }
 
-fn model(n: u64, replicas: u16, grants: &[Held]) -> ModelInfo<'_> {
+fn model(n: u64, replicas: u16, grants: &[ExistingGrant]) -> ModelInfo<'_> {
     ModelInfo {
         name_hash: hash(n + 1_000_000),
         memory_mib: 20_000,
@@ -41,8 +41,8 @@
     }
 }
 
-fn held(keys: &[u32]) -> Vec<Held> {
-    let held = |k: &u32| Held {
+fn held(keys: &[u32]) -> Vec<ExistingGrant> {
+    let held = |k: &u32| ExistingGrant {
         target: TargetKey(*k),
         revoking: false,
     };
--- a/crates/stair-policy/tests/retry.rs
+++ b/crates/stair-policy/tests/retry.rs
@@ -48,7 +48,7 @@
     for _ in 0..100_000 {
         budget.request();
     }
-    assert_eq!(budget.left(), 50);
+    assert_eq!(budget.available(), 50);
 }
 
 #[test]
--- a/crates/stair-policy/tests/shift.rs
+++ b/crates/stair-policy/tests/traffic_weights.rs
@@ -2,10 +2,10 @@
 
 use std::time::Duration;
 
-use stair_policy::shift::{
+use stair_policy::traffic_weights::{
     Options,
     Outcome,
-    Shift, //
+    TrafficWeights, //
 };
 use stair_types::TargetKey;
 
@@ -15,35 +15,35 @@
     Duration::from_millis(n)
 }
 
-fn shift() -> Shift {
-    Shift::new(Options::default())
+fn traffic_weights() -> TrafficWeights {
+    TrafficWeights::new(Options::default())
 }
 
 /// Lets each target answer `rounds` times, at a latency given by its number.
-fn run<F>(s: &mut Shift, rounds: u32, latency: F)
+fn run<F>(s: &mut TrafficWeights, rounds: u32, latency: F)
 where
     F: Fn(u32) -> u64,
 {
     for _ in 0..rounds {
         for t in 0..TARGETS {
-            s.observe(TargetKey(t), ms(latency(t)), Outcome::Answered);
+            s.observe(TargetKey(t), ms(latency(t)), Outcome::Completed);
         }
     }
 }
 
-fn weights(s: &Shift) -> Vec<f32> {
+fn weights(s: &TrafficWeights) -> Vec<f32> {
     (0..TARGETS).map(|t| s.weight(TargetKey(t))).collect()
 }
 
 #[test]
 fn full_at_first() {
-    assert_eq!(weights(&shift()), [1.0; TARGETS as usize]);
+    assert_eq!(weights(&traffic_weights()), [1.0; TARGETS as usize]);
 }
 
 // One target answers ten times slower than the others. Its callers would wait while others idle.
 #[test]
 fn slow_loses() {
-    let mut s = shift();
+    let mut s = traffic_weights();
     run(&mut s, 20, |_| 100);
     run(&mut s, 40, |t| if t == 4 { 1_000 } else { 100 });
     assert!(s.weight(TargetKey(4)) < 0.1, "{:?}", weights(&s));
@@ -53,7 +53,7 @@
 // The share goes step by step, so that the others are not hit by all of it at once.
 #[test]
 fn gradual_loss() {
-    let mut s = shift();
+    let mut s = traffic_weights();
     run(&mut s, 20, |_| 100);
     let mut last = 1.0;
     for _ in 0..60 {
@@ -66,7 +66,7 @@
 
 #[test]
 fn share_returns() {
-    let mut s = shift();
+    let mut s = traffic_weights();
     run(&mut s, 60, |t| if t == 4 { 1_000 } else { 100 });
     run(&mut s, 60, |_| 100);
     assert!(s.weight(TargetKey(4)) > 0.95, "{:?}", weights(&s));
@@ -75,7 +75,7 @@
 // The whole fleet becomes ten times slower under load. Taking targets out would make it worse.
 #[test]
 fn all_slow() {
-    let mut s = shift();
+    let mut s = traffic_weights();
     run(&mut s, 20, |_| 100);
     for _ in 0..50 {
         run(&mut s, 1, |_| 1_000);
@@ -85,7 +85,7 @@
 
 #[test]
 fn failing_loses() {
-    let mut s = shift();
+    let mut s = traffic_weights();
     run(&mut s, 20, |_| 100);
     for _ in 0..40 {
         run(&mut s, 1, |_| 100);
@@ -99,7 +99,7 @@
 // Everything fails, such as when the platform's network is down. No target is to blame.
 #[test]
 fn all_failing() {
-    let mut s = shift();
+    let mut s = traffic_weights();
     for _ in 0..50 {
         for t in 0..TARGETS {
             s.observe(TargetKey(t), ms(1), Outcome::Failed);
@@ -110,7 +110,7 @@
 
 #[test]
 fn forgotten_restarts() {
-    let mut s = shift();
+    let mut s = traffic_weights();
     run(&mut s, 60, |t| if t == 4 { 1_000 } else { 100 });
     s.forget(TargetKey(4));
     assert_eq!(s.weight(TargetKey(4)), 1.0);
