--- a/crates/stair-sidecar/src/controller.rs
+++ b/crates/stair-sidecar/src/controller.rs
@@ -34,7 +34,7 @@
 
 /// Time for which an adapter that is still in use counts as making way. Until its requests end the
 /// engine keeps it, and ordering it again or another one away gains nothing.
-const DROP_TIME: Duration = Duration::from_millis(1500);
+const ADAPTER_UNLOAD_TIMEOUT: Duration = Duration::from_millis(1500);
 
 /// Pause after the engine refused an order because of another one, or of a state that has changed:
 /// asking again at once would be refused again.
@@ -42,15 +42,15 @@
 
 /// Time after which an order that was not answered is not carried out any more. Operators speak of
 /// seconds.
-const LATE_ORDER_TIME: Duration = Duration::from_secs(10);
+const UNCONFIRMED_ORDER_TTL: Duration = Duration::from_secs(10);
 
 /// Time in which what an engine held before it crashed is brought back, each model after the other. Later
 /// than that, entries have asked for what is still missed.
-const RESTORE_TIME: Duration = Duration::from_secs(6);
+const RESTORE_TIMEOUT: Duration = Duration::from_secs(6);
 
 /// Who asked.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Asker {
+pub struct LoadRequestId {
     /// On which connection.
     pub link: LinkKey,
     /// The question's number there.
@@ -59,7 +59,7 @@
 
 /// An order to give now.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Step {
+pub struct PlannedOrder {
     /// Whether to load or unload.
     pub load: bool,
     /// The model.
@@ -71,7 +71,7 @@
 }
 
 struct Pending {
-    asker: Asker,
+    id: LoadRequestId,
     req: LoadRequest,
     since: Duration,
     /// Whether the engine has refused the order for it.
@@ -79,7 +79,7 @@
 }
 
 /// An order that the engine is carrying out.
-struct Doing {
+struct OrderInProgress {
     load: bool,
     model: Box<str>,
     from: Copy,
@@ -90,7 +90,7 @@
 }
 
 /// A load that was ordered and not answered; it may be carried out late.
-struct Unanswered {
+struct UnconfirmedOrder {
     model: Box<str>,
     planned_on: u64,
     until: Duration,
@@ -105,21 +105,21 @@
     started: Option<u64>,
     alive: bool,
     load_requests: Vec<Pending>,
-    doing: Option<Doing>,
+    in_progress: Option<OrderInProgress>,
     usage: Usage,
     /// Rejected requests for models that no engine could load in time.
     unserved: Usage,
     /// Adapters, as `MODEL/NAME`, that make way once their requests have ended, and until when they
     /// count as doing so.
-    dropping: Vec<(Box<str>, Duration)>,
+    unloading_adapters: Vec<(Box<str>, Duration)>,
     /// Models that get no new requests, so that they can make way once those in flight have ended.
-    leaving: Vec<Box<str>>,
+    evicting: Vec<Box<str>>,
     /// No order before then.
     not_before: Duration,
     /// Loads that the present life of the engine has not answered.
-    unanswered: Vec<Unanswered>,
+    unconfirmed: Vec<UnconfirmedOrder>,
     /// Those that a former life has not answered.
-    former: Vec<Unanswered>,
+    unconfirmed_before_restart: Vec<UnconfirmedOrder>,
     /// The last load from the weight store that ended, and when.
     fetched: Option<(Fetched, Duration)>,
     /// When the last one began.
@@ -153,7 +153,7 @@
 
     /// Whether an order is being carried out.
     pub fn busy(&self) -> bool {
-        self.doing.is_some() || self.reading.as_ref().is_some_and(|r| r.busy)
+        self.in_progress.is_some() || self.reading.as_ref().is_some_and(|r| r.busy)
     }
 
     /// Whether anything is asked for.
@@ -167,10 +167,10 @@
     }
 
     /// Takes a question in.
-    pub fn request_load(&mut self, asker: Asker, req: LoadRequest, now: Duration) {
-        self.usage.note_request(&req, now);
+    pub fn request_load(&mut self, id: LoadRequestId, req: LoadRequest, now: Duration) {
+        self.usage.record_request(&req, now);
         self.load_requests.push(Pending {
-            asker,
+            id,
             req,
             since: now,
             failed: false,
@@ -181,36 +181,36 @@
     ///
     /// A request that found the model elsewhere, or whose client left, would otherwise still have it
     /// loaded here, in the place of one that is in use.
-    pub fn cancel(&mut self, asker: Asker) {
-        self.load_requests.retain(|p| p.asker != asker);
+    pub fn cancel(&mut self, id: LoadRequestId) {
+        self.load_requests.retain(|p| p.id != id);
     }
 
     /// Takes in what an entry has sent to the engine.
-    pub fn used(&mut self, link: LinkKey, list: &[Used], now: Duration) {
+    pub fn record_use(&mut self, link: LinkKey, list: &[Used], now: Duration) {
         self.usage.take(link, list, now);
     }
 
     /// Counts a rejected request for a model that no engine could load in time.
-    pub fn count_unserved(&mut self, model: &str, now: Duration) {
+    pub fn record_unserved(&mut self, model: &str, now: Duration) {
         self.unserved.count(model, now);
     }
 
     /// Whether a model gets no new requests here: it makes way.
-    pub fn is_leaving(&self, model: &str) -> bool {
-        let unloading = self.doing.as_ref().filter(|d| !d.load);
+    pub fn is_evicting(&self, model: &str) -> bool {
+        let unloading = self.in_progress.as_ref().filter(|d| !d.load);
         let ordered = unloading.is_some_and(|d| *d.model == *model);
-        ordered || self.leaving.iter().any(|m| **m == *model)
+        ordered || self.evicting.iter().any(|m| **m == *model)
     }
 
     /// Takes in a prompt that takes so long to be read, and whether it has its slot and is on its way.
-    pub fn prompt(&mut self, model: &str, booked: bool, work: Duration, now: Duration) {
-        self.usage.prompt(model, booked, work, now);
+    pub fn record_prompt(&mut self, model: &str, admitted: bool, work: Duration, now: Duration) {
+        self.usage.record_prompt(model, admitted, work, now);
     }
 
     /// Forgets a connection.
-    pub fn gone(&mut self, link: LinkKey) {
-        self.load_requests.retain(|p| p.asker.link != link);
-        self.usage.forget(link);
+    pub fn disconnected(&mut self, link: LinkKey) {
+        self.load_requests.retain(|p| p.id.link != link);
+        self.usage.remove_link(link);
     }
 
     /// Takes a reading of the engine in, `None` when it does not answer. Whether the engine has started
@@ -221,26 +221,26 @@
             // What it was loading is lost if it has crashed. Told on, that load would take one of the
             // few places at the weight store, and look as if others had slowed it, for as long as
             // the engine is away. One that comes back in its load says that it is busy.
-            self.doing = None;
+            self.in_progress = None;
             return false;
         };
-        let restarted = self.take_life(&reading, now);
+        let restarted = self.update_incarnation(&reading, now);
         if restarted || !was_alive {
             self.restore(&reading, now);
         }
         if !reading.busy
-            && let Some(doing) = self.doing.take()
+            && let Some(in_progress) = self.in_progress.take()
         {
-            let fetches = doing.load && doing.from == Copy::Store;
-            if fetches && reading.holds.model(&doing.model).is_some() {
+            let fetches = in_progress.load && in_progress.from == Copy::Store;
+            if fetches && reading.holds.model(&in_progress.model).is_some() {
                 let fetched = Fetched {
-                    together: doing.together,
-                    times: self.times(&doing, now),
+                    together: in_progress.together,
+                    times: self.times(&in_progress, now),
                 };
                 self.fetched = Some((fetched, now));
             }
         }
-        self.dropping.retain(|(name, until)| {
+        self.unloading_adapters.retain(|(name, until)| {
             let held = name.split_once('/').is_some_and(|(model, adapter)| {
                 let held = reading.holds.model(model);
                 held.is_some_and(|h| h.adapters.iter().any(|a| **a == *adapter))
@@ -248,10 +248,10 @@
             held && now < *until
         });
         // A load that takes longer than expected has some time left, not none.
-        if let Some(doing) = &mut self.doing
-            && doing.until < now
+        if let Some(in_progress) = &mut self.in_progress
+            && in_progress.until < now
         {
-            doing.until = now + Duration::from_millis(100);
+            in_progress.until = now + Duration::from_millis(100);
         }
         self.reading = Some(reading);
         restarted
@@ -271,8 +271,8 @@
         let mut lost: Vec<Box<str>> = held.filter(|m| rate(m) > 0.0).cloned().collect();
         lost.sort_by(|a, b| rate(b).total_cmp(&rate(a)));
         for model in lost {
-            let asker = Asker {
-                link: LinkKey::OWN,
+            let id = LoadRequestId {
+                link: LinkKey::AGENT,
                 seq: 0,
             };
             let req = LoadRequest {
@@ -282,10 +282,10 @@
                 victims: Vec::new(),
                 fetch: None,
                 prefetch: true,
-                of_use: RESTORE_TIME,
+                of_use: RESTORE_TIMEOUT,
             };
             self.load_requests.push(Pending {
-                asker,
+                id,
                 req,
                 since: now,
                 failed: false,
@@ -294,73 +294,77 @@
     }
 
     /// Takes in whether the engine has started again, and which unanswered orders may still come.
-    fn take_life(&mut self, reading: &Reading, now: Duration) -> bool {
+    fn update_incarnation(&mut self, reading: &Reading, now: Duration) -> bool {
         let before = self.started;
         self.started = reading.started.or(before);
         let restarted = before.is_some() && self.started != before;
         if restarted {
-            self.doing = None;
-            self.dropping.clear();
+            self.in_progress = None;
+            self.unloading_adapters.clear();
             self.not_before = Duration::ZERO;
-            self.former.append(&mut self.unanswered);
+            self.unconfirmed_before_restart
+                .append(&mut self.unconfirmed);
         }
         // Each is planned on a count that the engine goes past only once.
-        let may_come = |u: &Unanswered| u.planned_on >= reading.sequence && now < u.until;
-        self.unanswered.retain(may_come);
-        self.former.retain(may_come);
+        let may_come = |u: &UnconfirmedOrder| u.planned_on >= reading.sequence && now < u.until;
+        self.unconfirmed.retain(may_come);
+        self.unconfirmed_before_restart.retain(may_come);
         restarted
     }
 
     /// Takes in what the engine said to an order; `None` when it said nothing in time.
-    pub fn replied(&mut self, step: &Step, reply: Option<Reply>, now: Duration) {
+    pub fn replied(&mut self, planned: &PlannedOrder, reply: Option<Reply>, now: Duration) {
         match reply {
-            Some(Reply::Accepted) if step.adapter.is_none() => {
-                let from = self.copy(&step.model);
-                if step.load && from == Copy::Store {
+            Some(Reply::Accepted) if planned.adapter.is_none() => {
+                let from = self.copy_location(&planned.model);
+                if planned.load && from == Copy::Store {
                     self.fetch_began = Some(now);
                 }
                 let mut asked = self
                     .load_requests
                     .iter()
-                    .filter(|p| p.req.model == step.model);
-                self.doing = Some(Doing {
-                    load: step.load,
-                    model: step.model.clone(),
+                    .filter(|p| p.req.model == planned.model);
+                self.in_progress = Some(OrderInProgress {
+                    load: planned.load,
+                    model: planned.model.clone(),
                     from,
                     since: now,
                     together: asked.find_map(|p| p.req.fetch).unwrap_or(1),
-                    until: now + self.load_time(&step.model, from),
+                    until: now + self.load_time(&planned.model, from),
                 });
             }
             Some(Reply::Accepted) => {
-                let name = key(&step.model, step.adapter.as_deref());
-                if !step.load {
-                    self.dropping.push((name, now + DROP_TIME));
+                let name = key(&planned.model, planned.adapter.as_deref());
+                if !planned.load {
+                    self.unloading_adapters
+                        .push((name, now + ADAPTER_UNLOAD_TIMEOUT));
                 }
             }
             Some(Reply::Conflict) => self.not_before = now + CONFLICT_PAUSE,
             // The next reading tells: the sequence has risen, or the same order is given again,
             // planned on the same sequence, so that at most one of the two takes effect.
             Some(Reply::Holds) => {}
-            None if step.load && step.adapter.is_none() => self.unanswered.push(Unanswered {
-                model: step.model.clone(),
-                planned_on: step.planned_on,
-                until: now + LATE_ORDER_TIME,
-            }),
+            None if planned.load && planned.adapter.is_none() => {
+                self.unconfirmed.push(UnconfirmedOrder {
+                    model: planned.model.clone(),
+                    planned_on: planned.planned_on,
+                    until: now + UNCONFIRMED_ORDER_TTL,
+                })
+            }
             None => {}
             Some(Reply::Fenced | Reply::OtherInstance) => self.reading = None,
-            Some(Reply::Refused(_)) => self.fail(step),
+            Some(Reply::Refused(_)) => self.fail(planned),
         }
     }
 
-    fn fail(&mut self, step: &Step) {
+    fn fail(&mut self, planned: &PlannedOrder) {
         for p in &mut self.load_requests {
-            p.failed |= p.req.model == step.model;
+            p.failed |= p.req.model == planned.model;
         }
     }
 
     /// Answers the load requests that can be answered by what is known now.
-    pub fn settle(&mut self, control: bool, now: Duration) -> Vec<(Asker, Outcome)> {
+    pub fn resolve(&mut self, control: bool, now: Duration) -> Vec<(LoadRequestId, Outcome)> {
         let mut out = Vec::new();
         let load_requests = std::mem::take(&mut self.load_requests);
         for p in load_requests {
@@ -368,15 +372,15 @@
                 Some(outcome) => {
                     if outcome == Outcome::Ready {
                         // The request that asked is only now on its way.
-                        self.usage.note_request(&p.req, now);
+                        self.usage.record_request(&p.req, now);
                     }
-                    out.push((p.asker, outcome));
+                    out.push((p.id, outcome));
                 }
                 None => self.load_requests.push(p),
             }
         }
         if self.load_requests.is_empty() {
-            self.leaving.clear();
+            self.evicting.clear();
         }
         out
     }
@@ -390,15 +394,15 @@
         }
         if !control || !self.alive || self.reading.is_none() || self.decl.is_none() {
             // The agent itself waits until it is told the engine's new life.
-            let own = p.asker.link == LinkKey::OWN;
+            let own = p.id.link == LinkKey::AGENT;
             return (!own).then_some(Outcome::NoControl);
         }
-        if self.loads(&p.req.model) {
+        if self.is_loading(&p.req.model) {
             return None;
         }
         if p.req.fetch.is_none()
-            && !self.holds(&p.req.model)
-            && self.copy(&p.req.model) == Copy::Store
+            && !self.is_loaded(&p.req.model)
+            && self.copy_location(&p.req.model) == Copy::Store
         {
             return Some(Outcome::StoreBusy);
         }
@@ -410,26 +414,26 @@
             .reading
             .as_ref()
             .and_then(|r| r.holds.model(&req.model));
-        let leaving = self.is_leaving(&req.model);
+        let evicting = self.is_evicting(&req.model);
         match (held, &req.adapter) {
-            (Some(_), None) => !leaving,
-            (Some(held), Some(a)) => !leaving && held.adapters.iter().any(|x| x == a),
+            (Some(_), None) => !evicting,
+            (Some(held), Some(a)) => !evicting && held.adapters.iter().any(|x| x == a),
             (None, _) => false,
         }
     }
 
-    fn holds(&self, model: &str) -> bool {
+    fn is_loaded(&self, model: &str) -> bool {
         self.reading
             .as_ref()
             .is_some_and(|r| r.holds.model(model).is_some())
     }
 
-    fn loads(&self, model: &str) -> bool {
-        let doing = self.doing.as_ref();
-        doing.is_some_and(|d| d.load && *d.model == *model)
+    fn is_loading(&self, model: &str) -> bool {
+        let in_progress = self.in_progress.as_ref();
+        in_progress.is_some_and(|d| d.load && *d.model == *model)
     }
 
-    fn copy(&self, model: &str) -> Copy {
+    fn copy_location(&self, model: &str) -> Copy {
         let reading = self.reading.as_ref();
         reading.map_or(Copy::Store, |r| r.holds.copy(model))
     }
@@ -440,9 +444,9 @@
     }
 
     /// How many times its declared time a load has taken.
-    fn times(&self, doing: &Doing, now: Duration) -> f32 {
-        let declared = self.load_time(&doing.model, doing.from);
-        let taken = now.saturating_sub(doing.since);
+    fn times(&self, in_progress: &OrderInProgress, now: Duration) -> f32 {
+        let declared = self.load_time(&in_progress.model, in_progress.from);
+        let taken = now.saturating_sub(in_progress.since);
         match declared.is_zero() {
             true => 0.0,
             false => taken.div_duration_f32(declared),
--- a/crates/stair-sidecar/src/controller/plan.rs
+++ b/crates/stair-sidecar/src/controller/plan.rs
@@ -8,10 +8,10 @@
 };
 
 use super::{
-    Asker,
     Controller,
+    LoadRequestId,
     Pending,
-    Step, //
+    PlannedOrder, //
 };
 use crate::usage::{
     LinkKey,
@@ -19,9 +19,9 @@
 };
 
 /// Whether there is room for a model.
-enum Room {
+enum LoadPlan {
     /// The order that loads it, or makes room for it.
-    Now(Step),
+    Now(PlannedOrder),
     /// What could make way was asked for a moment ago, or is in use; what is to get no new requests.
     Later(Option<Box<str>>),
     /// The engine is too small for it, or it is not declared.
@@ -29,7 +29,7 @@
 }
 
 /// A model that is asked for and not there.
-struct Absent<'a> {
+struct MissingModel<'a> {
     model: &'a str,
     /// The oldest request for it.
     oldest: usize,
@@ -39,67 +39,71 @@
     takes: Duration,
 }
 
-impl Absent<'_> {
+impl MissingModel<'_> {
     /// Requests served for each second that the load takes.
     fn gain(&self) -> f64 {
-        self.waiting as f64 / self.takes.as_secs_f64().max(LEAST_LOAD_S)
+        self.waiting as f64 / self.takes.as_secs_f64().max(MIN_LOAD_S)
     }
 }
 
 /// Time that a load is taken to need at least, in seconds, as one from host memory does.
-const LEAST_LOAD_S: f64 = 0.1;
+const MIN_LOAD_S: f64 = 0.1;
 
 impl Controller {
     /// Returns the next order, if one is to be given now. Load requests that nothing can be done for are
     /// answered through `refused`.
-    pub fn next(&mut self, refused: &mut Vec<(Asker, Outcome)>, now: Duration) -> Option<Step> {
+    pub fn next(
+        &mut self,
+        refused: &mut Vec<(LoadRequestId, Outcome)>,
+        now: Duration,
+    ) -> Option<PlannedOrder> {
         // An engine takes no order of any kind while a model comes or goes.
         if self.busy() || now < self.not_before {
             return None;
         }
-        if let Some(step) = self.next_adapter(now) {
-            return Some(step);
+        if let Some(planned) = self.next_adapter(now) {
+            return Some(planned);
         }
-        let before = std::mem::take(&mut self.leaving);
-        let mut hopeless = Vec::new();
-        let mut step = None;
+        let before = std::mem::take(&mut self.evicting);
+        let mut unloadable = Vec::new();
+        let mut planned = None;
         for i in self.models_to_load(now) {
-            match self.make_way(&self.load_requests[i], &before, now) {
-                Room::Now(next) => {
-                    step = Some(next);
+            match self.plan_load(&self.load_requests[i], &before, now) {
+                LoadPlan::Now(next) => {
+                    planned = Some(next);
                     break;
                 }
-                Room::Later(None) => {}
+                LoadPlan::Later(None) => {}
                 // One at a time: the next request may need no more room than this one makes.
-                Room::Later(Some(victim)) if self.leaving.is_empty() => {
-                    self.leaving.push(victim);
+                LoadPlan::Later(Some(victim)) if self.evicting.is_empty() => {
+                    self.evicting.push(victim);
                 }
-                Room::Later(Some(_)) => {}
-                Room::Never => hopeless.push(i),
+                LoadPlan::Later(Some(_)) => {}
+                LoadPlan::Never => unloadable.push(i),
             }
         }
-        hopeless.sort_unstable();
-        for i in hopeless.into_iter().rev() {
+        unloadable.sort_unstable();
+        for i in unloadable.into_iter().rev() {
             let p = self.load_requests.remove(i);
-            refused.push((p.asker, Outcome::NoRoom));
+            refused.push((p.id, Outcome::NoRoom));
         }
-        step
+        planned
     }
 
     /// The models that are asked for and not there, by name.
-    fn absent(&self) -> Vec<Absent<'_>> {
-        let mut out: Vec<Absent<'_>> = Vec::new();
+    fn missing_models(&self) -> Vec<MissingModel<'_>> {
+        let mut out: Vec<MissingModel<'_>> = Vec::new();
         for (i, p) in self.load_requests.iter().enumerate() {
             let model = &*p.req.model;
-            if self.holds(model) {
+            if self.is_loaded(model) {
                 continue;
             }
             let waiting = usize::from(!p.req.prefetch);
             match out.binary_search_by(|a| a.model.cmp(model)) {
                 Ok(at) => out[at].waiting += waiting,
                 Err(at) => {
-                    let from = self.copy(model);
-                    let new = Absent {
+                    let from = self.copy_location(model);
+                    let new = MissingModel {
                         model,
                         oldest: i,
                         waiting,
@@ -119,7 +123,7 @@
         let may_fetch = self
             .fetch_began
             .is_none_or(|at| now.saturating_sub(at) >= self.opts.fetch_window);
-        let mut models = self.absent();
+        let mut models = self.missing_models();
         models.retain(|a| may_fetch || a.from != Copy::Store);
         models.sort_by(|a, b| {
             let older = || a.oldest.cmp(&b.oldest);
@@ -131,9 +135,11 @@
     /// Time that the loads from copies will take that are asked for and have not begun. Those from the
     /// weight store take turns after them, unless many requests wait for one.
     pub(super) fn to_load(&self) -> Duration {
-        let absent = self.absent();
-        let near = absent.iter().filter(|a| a.from != Copy::Store);
-        near.filter(|a| !self.loads(a.model)).map(|a| a.takes).sum()
+        let missing_models = self.missing_models();
+        let near = missing_models.iter().filter(|a| a.from != Copy::Store);
+        near.filter(|a| !self.is_loading(a.model))
+            .map(|a| a.takes)
+            .sum()
     }
 
     /// The next step towards a model: unload a victim, or load it.
@@ -141,33 +147,34 @@
     /// An engine takes no order while it unloads a model, and that waits for the model's streams. So a
     /// victim with requests in flight gets no new ones first, and the order is given when they have
     /// ended; meanwhile the engine takes the orders that need no such wait.
-    fn make_way(&self, pending: &Pending, leaving: &[Box<str>], now: Duration) -> Room {
+    fn plan_load(&self, pending: &Pending, evicting: &[Box<str>], now: Duration) -> LoadPlan {
         let req = &pending.req;
         let (Some(decl), Some(reading)) = (&self.decl, &self.reading) else {
-            return Room::Never;
+            return LoadPlan::Never;
         };
         let Some(model) = decl.model(&req.model) else {
-            return Room::Never;
+            return LoadPlan::Never;
         };
         let needed = model.weights_mb;
         if needed > decl.weights_mb {
-            return Room::Never;
+            return LoadPlan::Never;
         }
-        let free = decl.weights_mb - self.taken_mb();
-        let step = |load, model: &str| Step {
+        let free = decl.weights_mb - self.committed_mb();
+        let planned = |load, model: &str| PlannedOrder {
             load,
             model: model.into(),
             adapter: None,
             planned_on: reading.sequence,
         };
         if needed <= free {
-            return Room::Now(step(true, &req.model));
+            return LoadPlan::Now(planned(true, &req.model));
         }
-        if pending.asker.link == LinkKey::OWN {
+        if pending.id.link == LinkKey::AGENT {
             // What entries have asked for since is missed more.
-            return Room::Never;
+            return LoadPlan::Never;
         }
-        let idle = |v: &str| self.usage.in_flight(v) == 0 && self.usage.settled(v, now);
+        let idle =
+            |v: &str| self.usage.in_flight(v) == 0 && self.usage.eviction_hold_elapsed(v, now);
         let named = req.victims.iter().map(|v| &**v);
         let named = named.filter(|v| reading.holds.model(v).is_some());
         // The entry's view can be a second old; what it named may be gone, then the least used
@@ -175,16 +182,16 @@
         let mut others: Vec<&str> = reading.holds.models.iter().map(|h| &*h.name).collect();
         others.sort_by(|a, b| self.usage.rate(a, now).total_cmp(&self.usage.rate(b, now)));
         if let Some(victim) = named.clone().chain(others).find(|v| idle(v)) {
-            return Room::Now(step(false, victim));
+            return LoadPlan::Now(planned(false, victim));
         }
         let mut busy = named.filter(|v| {
-            let begun = leaving.iter().any(|m| **m == **v);
-            begun || req.prefetch || self.usage.settled(v, now)
+            let begun = evicting.iter().any(|m| **m == **v);
+            begun || req.prefetch || self.usage.eviction_hold_elapsed(v, now)
         });
-        Room::Later(busy.next().map(Into::into))
+        LoadPlan::Later(busy.next().map(Into::into))
     }
 
-    fn next_adapter(&self, now: Duration) -> Option<Step> {
+    fn next_adapter(&self, now: Duration) -> Option<PlannedOrder> {
         let decl = self.decl.as_ref()?;
         let reading = self.reading.as_ref()?;
         let (model, adapter) = self.load_requests.iter().find_map(|p| {
@@ -196,22 +203,22 @@
         })?;
         let count: usize = reading.holds.models.iter().map(|h| h.adapters.len()).sum();
         let slots = decl.adapter_slots as usize;
-        let step = |load, model: &str, adapter: &str| Step {
+        let planned = |load, model: &str, adapter: &str| PlannedOrder {
             load,
             model: model.into(),
             adapter: Some(adapter.into()),
             planned_on: reading.sequence,
         };
         let size = decl.model(model)?.adapter_mb;
-        let fits = self.taken_mb() + size <= decl.weights_mb;
+        let fits = self.committed_mb() + size <= decl.weights_mb;
         if count + reading.pending.len() < slots && fits {
-            return Some(step(true, model, adapter));
+            return Some(planned(true, model, adapter));
         }
-        if !self.dropping.is_empty() {
+        if !self.unloading_adapters.is_empty() {
             return None;
         }
         let (model, adapter) = self.idle_adapter(now)?;
-        Some(step(false, &model, &adapter))
+        Some(planned(false, &model, &adapter))
     }
 
     /// The adapter that nothing uses and that was asked for the longest ago.
@@ -224,13 +231,13 @@
         let name = |(m, a): &(Box<str>, Box<str>)| key(m, Some(a));
         all.filter(|one| {
             let name = name(one);
-            self.usage.in_flight(&name) == 0 && self.usage.settled(&name, now)
+            self.usage.in_flight(&name) == 0 && self.usage.eviction_hold_elapsed(&name, now)
         })
         .min_by_key(|one| self.usage.last_request(&name(one)))
     }
 
     /// Memory taken by what the engine holds and by adapters on their way to it.
-    fn taken_mb(&self) -> f64 {
+    fn committed_mb(&self) -> f64 {
         let (Some(decl), Some(reading)) = (&self.decl, &self.reading) else {
             return f64::INFINITY;
         };
@@ -245,11 +252,11 @@
             let model = p.split_once('/').map_or(&**p, |(m, _)| m);
             decl.model(model).map_or(0.0, |m| m.adapter_mb)
         });
-        let former = self.former.iter().map(|u| {
+        let unconfirmed = self.unconfirmed_before_restart.iter().map(|u| {
             let may_come = reading.holds.model(&u.model).is_none();
             let size = || decl.model(&u.model).map_or(0.0, |m| m.weights_mb);
             if may_come { size() } else { 0.0 }
         });
-        models.sum::<f64>() + pending.sum::<f64>() + former.sum::<f64>()
+        models.sum::<f64>() + pending.sum::<f64>() + unconfirmed.sum::<f64>()
     }
 }
--- a/crates/stair-sidecar/src/controller/report.rs
+++ b/crates/stair-sidecar/src/controller/report.rs
@@ -16,10 +16,10 @@
 
 /// Time for which entries are told how long a load from the weight store took. Others use the store
 /// too, so that what was so for some minutes need not stay so.
-const FETCHED_TIME: Duration = Duration::from_secs(120);
+const FETCHED_TTL: Duration = Duration::from_secs(120);
 
 /// Rate below which use is not told: one request in several minutes.
-const LEAST_PER_S: f32 = 0.005;
+const MIN_REPORTED_PER_S: f32 = 0.005;
 
 impl Controller {
     /// Tokens that the engine's memory has room for; 0 when it has not been read.
@@ -28,7 +28,7 @@
     }
 
     /// Returns what the engine holds.
-    pub fn held(&self) -> Holds {
+    pub fn inventory(&self) -> Holds {
         let reading = self.reading.as_ref();
         reading.map(|r| r.holds.clone()).unwrap_or_default()
     }
@@ -38,14 +38,22 @@
         let Some(reading) = &self.reading else {
             return Load::default();
         };
-        let loading = self.doing.as_ref().filter(|d| d.load).map(|d| Loading {
-            model: d.model.clone(),
-            from: d.from,
-            left: d.until.saturating_sub(now),
-            times: self.times(d, now),
-        });
-        let unloading = self.doing.as_ref().filter(|d| !d.load).map(|d| &d.model);
-        let mut leaving: Vec<Box<str>> = self.leaving.clone();
+        let loading = self
+            .in_progress
+            .as_ref()
+            .filter(|d| d.load)
+            .map(|d| Loading {
+                model: d.model.clone(),
+                from: d.from,
+                left: d.until.saturating_sub(now),
+                times: self.times(d, now),
+            });
+        let unloading = self
+            .in_progress
+            .as_ref()
+            .filter(|d| !d.load)
+            .map(|d| &d.model);
+        let mut leaving: Vec<Box<str>> = self.evicting.clone();
         leaving.extend(unloading.cloned());
         leaving.sort();
         leaving.dedup();
@@ -59,7 +67,7 @@
                 per_s: self.usage.rate(&h.name, now) as f32,
                 work: self.usage.work(&h.name, now) as f32,
             })
-            .filter(|u| u.in_flight > 0 || u.per_s > LEAST_PER_S)
+            .filter(|u| u.in_flight > 0 || u.per_s > MIN_REPORTED_PER_S)
             .collect();
         usage.sort_by(|a, b| a.model.cmp(&b.model));
         Load {
@@ -85,11 +93,11 @@
             model: model.into(),
             per_s: per_s as f32,
         });
-        rates.filter(|d| d.per_s > LEAST_PER_S).collect()
+        rates.filter(|d| d.per_s > MIN_REPORTED_PER_S).collect()
     }
 
     fn fetched(&self, now: Duration) -> Option<Fetched> {
-        let fresh = |at: Duration| now.saturating_sub(at) < FETCHED_TIME;
+        let fresh = |at: Duration| now.saturating_sub(at) < FETCHED_TTL;
         self.fetched.filter(|(_, at)| fresh(*at)).map(|(f, _)| f)
     }
 
--- a/crates/stair-sidecar/src/engine.rs
+++ b/crates/stair-sidecar/src/engine.rs
@@ -23,13 +23,13 @@
 };
 
 /// Time for a reading. The engine is on the same VM; one that needs longer stands still or is gone.
-const READ_TIME: Duration = Duration::from_millis(400);
+const READ_TIMEOUT: Duration = Duration::from_millis(400);
 
 /// Time for the answer to an order. An engine answers within milliseconds or has lost the answer.
-const ORDER_TIME: Duration = Duration::from_millis(400);
+const ORDER_TIMEOUT: Duration = Duration::from_millis(400);
 
 /// Longest answer: a reading with all adapters is some kilobytes.
-const MAX_ANSWER_BYTES: usize = 1 << 20;
+const MAX_RESPONSE_BYTES: usize = 1 << 20;
 
 /// Why a call to the engine failed.
 #[derive(Debug, thiserror::Error)]
@@ -54,7 +54,7 @@
     /// Makes a client; it opens no connection yet.
     pub fn new(addr: SocketAddr) -> Self {
         let opts = client::Options {
-            connect_timeout: READ_TIME,
+            connect_timeout: READ_TIMEOUT,
             max_idle: 1,
             ..client::Options::default()
         };
@@ -69,14 +69,14 @@
     ///
     /// See [`Error`].
     pub async fn read(&self) -> Result<(Reading, Option<Box<str>>), Error> {
-        let answer = self.client.send(reading_call(), READ_TIME).await?;
-        let status = answer.head.status;
-        let life = answer::instance(&answer.head.headers).map(Into::into);
-        let body = answer.collect(MAX_ANSWER_BYTES, READ_TIME).await?;
+        let response = self.client.send(reading_call(), READ_TIMEOUT).await?;
+        let status = response.head.status;
+        let incarnation = answer::instance(&response.head.headers).map(Into::into);
+        let body = response.collect(MAX_RESPONSE_BYTES, READ_TIMEOUT).await?;
         if !status.is_success() {
             return Err(Error::Status(status.as_u16()));
         }
-        Ok((reading(&body)?, life))
+        Ok((reading(&body)?, incarnation))
     }
 
     /// Gives an order. The answer names the engine's present life where the order was meant for
@@ -86,10 +86,10 @@
     ///
     /// See [`Error`]; the order may then have been accepted, or may be carried out later.
     pub async fn order(&self, order: &Order) -> Result<(Reply, Option<Box<str>>), Error> {
-        let answer = self.client.send(order_call(order)?, ORDER_TIME).await?;
-        let status = answer.head.status;
-        let life = answer::instance(&answer.head.headers).map(Into::into);
-        answer.collect(MAX_ANSWER_BYTES, ORDER_TIME).await?;
-        Ok((reply(status), life))
+        let response = self.client.send(order_call(order)?, ORDER_TIMEOUT).await?;
+        let status = response.head.status;
+        let incarnation = answer::instance(&response.head.headers).map(Into::into);
+        response.collect(MAX_RESPONSE_BYTES, ORDER_TIMEOUT).await?;
+        Ok((reply(status), incarnation))
     }
 }
--- a/crates/stair-sidecar/src/lib.rs
+++ b/crates/stair-sidecar/src/lib.rs
@@ -3,7 +3,7 @@
 //! It alone orders its engine. Requests do not pass through it: entries send them straight to the
 //! engine, so that a dead agent costs no sound engine.
 //!
-//! - [`allowances`]: counts the allowances of workspaces for all entries.
+//! - [`quotas`]: counts the allowances of workspaces for all entries.
 //! - [`controller`]: what the engine holds, what is asked for, and the next order; without input or output.
 //! - [`engine`]: readings of the engine and orders to it.
 //! - [`fence`]: raises the fencing token in the store.
@@ -14,11 +14,11 @@
 #![deny(missing_docs)]
 #![forbid(unsafe_code)]
 
-pub mod allowances;
 pub mod controller;
 pub mod engine;
 pub mod fence;
 pub mod links;
 pub mod process;
 pub mod quarantine;
+pub mod quotas;
 pub mod usage;
--- a/crates/stair-sidecar/src/links.rs
+++ b/crates/stair-sidecar/src/links.rs
@@ -31,21 +31,21 @@
 };
 
 use crate::{
-    allowances::Allowances,
     process::dump::Dump,
     quarantine::Quarantine,
+    quotas::Quotas,
     usage::LinkKey, //
 };
 
 /// Messages waiting for one entry. A report replaces the ones before it, so an entry that reads
 /// slowly loses nothing by a dropped one.
-const QUEUE: usize = 32;
+const QUEUE_CAPACITY: usize = 32;
 
 /// Time without a message after which a link is taken for dead; entries speak every second.
-const SILENCE: Duration = Duration::from_secs(4);
+const SILENCE_TIMEOUT: Duration = Duration::from_secs(4);
 
 /// Time to write a message. An entry that stands still would otherwise hold its messages for ever.
-const WRITE_TIME: Duration = Duration::from_secs(4);
+const WRITE_TIMEOUT: Duration = Duration::from_secs(4);
 
 /// What comes from the links.
 pub enum Event {
@@ -63,7 +63,7 @@
 #[derive(Clone)]
 pub struct Ledgers {
     /// Allowances of workspaces.
-    pub allowances: Arc<Allowances>,
+    pub quotas: Arc<Quotas>,
     /// Requests that end their targets.
     pub quarantine: Arc<Quarantine>,
 }
@@ -88,7 +88,7 @@
     // Without it a message waits for the acknowledgement of the one before; it still arrives.
     let _ = stream.set_nodelay(true);
     let (r, w) = stream.into_split();
-    let (tx, rx) = mpsc::channel(QUEUE);
+    let (tx, rx) = mpsc::channel(QUEUE_CAPACITY);
     if events.send(Event::Opened(key, tx.clone())).await.is_err() {
         return;
     }
@@ -109,16 +109,16 @@
     ledgers: &Ledgers,
     tx: &mpsc::Sender<ToEntry>,
 ) {
-    while let Ok(Ok(msg)) = timeout(SILENCE, frame::read_message(&mut r)).await {
+    while let Ok(Ok(msg)) = timeout(SILENCE_TIMEOUT, frame::read_message(&mut r)).await {
         let msg = match msg {
             ToAgent::Allow { seq, ask } => {
-                let answer = ledgers.allowances.ask(&ask);
+                let answer = ledgers.quotas.request(&ask);
                 // An entry that does not read asks another agent.
                 let _ = tx.try_send(ToEntry::Allowed { seq, answer });
                 continue;
             }
             ToAgent::GiveBack { workspace, cost } => {
-                ledgers.allowances.give_back(&workspace, cost);
+                ledgers.quotas.refund(&workspace, cost);
                 continue;
             }
             ToAgent::Quarantine(msg) => {
@@ -135,7 +135,7 @@
 
 async fn write(mut w: OwnedWriteHalf, mut rx: mpsc::Receiver<ToEntry>) {
     while let Some(msg) = rx.recv().await {
-        let written = timeout(WRITE_TIME, frame::write_message(&mut w, &msg)).await;
+        let written = timeout(WRITE_TIMEOUT, frame::write_message(&mut w, &msg)).await;
         if !matches!(written, Ok(Ok(()))) {
             return;
         }
--- a/crates/stair-sidecar/src/process.rs
+++ b/crates/stair-sidecar/src/process.rs
@@ -53,12 +53,11 @@
 };
 
 use crate::{
-    allowances::Allowances,
     controller::{
         self,
-        Asker,
         Controller,
-        Step, //
+        LoadRequestId,
+        PlannedOrder, //
     },
     engine::Engine,
     fence,
@@ -68,27 +67,28 @@
         Ledgers, //
     },
     quarantine::Quarantine,
+    quotas::Quotas,
     usage::LinkKey,
 };
 
 /// Pause between readings while nothing is asked for. Reports are at most this old.
-const READ_EVERY: Duration = Duration::from_millis(250);
+const READ_INTERVAL: Duration = Duration::from_millis(250);
 
 /// Pause between readings while an order is carried out: the end of a load shows this late.
-const READ_EVERY_BUSY: Duration = Duration::from_millis(40);
+const BUSY_READ_INTERVAL: Duration = Duration::from_millis(40);
 
 /// Pause between looks whether what entries are told of each other has changed.
-const PEERS_EVERY: Duration = Duration::from_millis(250);
+const PEERS_INTERVAL: Duration = Duration::from_millis(250);
 
 /// Pause between tries to raise the fencing token while the store does not answer.
-const FENCE_EVERY: Duration = Duration::from_millis(500);
+const FENCE_RETRY_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Readings that may fail before the engine is taken for dead: one may be lost in a crash of the
 /// connection alone.
-const MISSES: u32 = 2;
+const MAX_FAILED_READS: u32 = 2;
 
 /// Messages of all links waiting for the main loop.
-const QUEUE: usize = 256;
+const QUEUE_CAPACITY: usize = 256;
 
 /// An agent whose addresses are bound.
 pub struct Sidecar {
@@ -130,15 +130,15 @@
         let mut tasks = JoinSet::new();
         let page = Arc::new(Page::default());
         let (_end, never) = watch::channel(false);
-        let (tx, rx) = mpsc::channel(QUEUE);
+        let (tx, rx) = mpsc::channel(QUEUE_CAPACITY);
         let (counted, events) = (page.clone(), tx.clone());
         let opts = observe::Options {
             page: move || counted.text(),
-            dump: move || ask_dump(events.clone()),
+            dump: move || request_dump(events.clone()),
         };
         tasks.spawn(observe::serve(self.metrics, never, opts));
         let ledgers = Ledgers {
-            allowances: Arc::new(Allowances::new(page.clone())),
+            quotas: Arc::new(Quotas::new(page.clone())),
             quarantine: Arc::new(Quarantine::new(page.clone())),
         };
         tasks.spawn(links::accept(self.inner, tx, ledgers.clone()));
@@ -169,7 +169,7 @@
 }
 
 /// Asks the main loop for its state.
-async fn ask_dump(events: mpsc::Sender<Event>) -> Value {
+async fn request_dump(events: mpsc::Sender<Event>) -> Value {
     let (tx, rx) = oneshot::channel();
     // Both fail only when the process is ending.
     let asked = events.send(Event::Dump(tx)).await.is_ok();
@@ -199,14 +199,14 @@
     fence: Option<u64>,
     fence_tx: mpsc::Sender<u64>,
     /// The engine's present life, and the store's revision that says so.
-    instance: Option<(Box<str>, u64)>,
+    incarnation: Option<(Box<str>, u64)>,
     /// The last life that the engine said it is not.
-    former: Option<Box<str>>,
+    stale_incarnation: Option<Box<str>>,
     declared: u64,
     /// When an entry was asked for a newer declaration.
-    asked_declared: Option<Instant>,
-    misses: u32,
-    published_holds: Option<Holds>,
+    declaration_requested_at: Option<Instant>,
+    failed_reads: u32,
+    published_inventory: Option<Holds>,
     published_load: Option<(Load, Instant)>,
     page: Arc<Page>,
     ledgers: Ledgers,
@@ -232,12 +232,12 @@
             lag: Lag::default(),
             fence: None,
             fence_tx,
-            instance: None,
-            former: None,
+            incarnation: None,
+            stale_incarnation: None,
             declared: 0,
-            asked_declared: None,
-            misses: 0,
-            published_holds: None,
+            declaration_requested_at: None,
+            failed_reads: 0,
+            published_inventory: None,
             published_load: None,
             page,
             ledgers,
@@ -273,15 +273,19 @@
                 () = sleep_until(read_at) => self.read().await,
                 () = stopped(&mut stop) => return,
             }
-            self.work().await;
+            self.execute_orders().await;
             let busy = self.controller.busy() || self.controller.has_load_requests();
-            let pause = if busy { READ_EVERY_BUSY } else { READ_EVERY };
+            let pause = if busy {
+                BUSY_READ_INTERVAL
+            } else {
+                READ_INTERVAL
+            };
             let latest = Instant::now() + pause;
             if read_at <= Instant::now() || read_at > latest {
                 read_at = latest;
             }
             self.publish();
-            if peers_at.elapsed() >= PEERS_EVERY {
+            if peers_at.elapsed() >= PEERS_INTERVAL {
                 peers_at = Instant::now();
                 self.publish_peers();
             }
@@ -290,14 +294,14 @@
 
     async fn read(&mut self) {
         match self.engine.read().await {
-            Ok((reading, life)) => {
-                if self.misses >= MISSES {
+            Ok((reading, incarnation)) => {
+                if self.failed_reads >= MAX_FAILED_READS {
                     Line::failure("engine.regained").write();
                 }
-                self.misses = 0;
-                if let Some(id) = life {
-                    let revision = self.instance.as_ref().map_or(0, |(_, r)| *r);
-                    self.learn_instance(id, revision);
+                self.failed_reads = 0;
+                if let Some(id) = incarnation {
+                    let revision = self.incarnation.as_ref().map_or(0, |(_, r)| *r);
+                    self.update_incarnation(id, revision);
                 }
                 let started = reading.started.unwrap_or(0);
                 if self.controller.read(Some(reading), self.now()) {
@@ -309,8 +313,8 @@
                 }
             }
             Err(e) => {
-                self.misses += 1;
-                if self.misses == MISSES {
+                self.failed_reads += 1;
+                if self.failed_reads == MAX_FAILED_READS {
                     Line::failure("engine.lost").show("error", e).write();
                     self.controller.read(None, self.now());
                 }
@@ -319,70 +323,70 @@
     }
 
     /// Gives orders until there is none to give, and answers what can be answered.
-    async fn work(&mut self) {
+    async fn execute_orders(&mut self) {
         loop {
-            let control = self.fence.is_some() && self.instance.is_some();
-            let settled = self.controller.settle(control, self.now());
-            self.answer(settled);
+            let control = self.fence.is_some() && self.incarnation.is_some();
+            let resolved = self.controller.resolve(control, self.now());
+            self.send_outcomes(resolved);
             if !control || !self.controller.has_load_requests() {
                 return;
             }
             let mut refused = Vec::new();
-            let step = self.controller.next(&mut refused, self.now());
-            self.answer(refused);
-            let Some(step) = step else { return };
-            if !self.order(&step).await {
+            let planned = self.controller.next(&mut refused, self.now());
+            self.send_outcomes(refused);
+            let Some(planned) = planned else { return };
+            if !self.order(&planned).await {
                 return;
             }
         }
     }
 
     /// Gives one order, and tells whether to go on at once.
-    async fn order(&mut self, step: &Step) -> bool {
-        let (Some(fence), Some((instance, _))) = (self.fence, self.instance.clone()) else {
+    async fn order(&mut self, planned: &PlannedOrder) -> bool {
+        let (Some(fence), Some((instance, _))) = (self.fence, self.incarnation.clone()) else {
             return false;
         };
         let order = Order {
-            load: step.load,
-            model: step.model.clone(),
-            adapter: step.adapter.clone(),
-            planned_on: step.planned_on,
+            load: planned.load,
+            model: planned.model.clone(),
+            adapter: planned.adapter.clone(),
+            planned_on: planned.planned_on,
             instance,
             holder: self.settings.name.clone(),
             fence,
         };
-        let (reply, life) = match self.engine.order(&order).await {
-            Ok((reply, life)) => (Ok(reply), life),
+        let (reply, incarnation) = match self.engine.order(&order).await {
+            Ok((reply, incarnation)) => (Ok(reply), incarnation),
             Err(e) => (Err(e), None),
         };
-        if let Some(id) = life {
-            let revision = self.instance.as_ref().map_or(0, |(_, r)| *r);
-            self.learn_instance(id, revision);
+        if let Some(id) = incarnation {
+            let revision = self.incarnation.as_ref().map_or(0, |(_, r)| *r);
+            self.update_incarnation(id, revision);
         }
         if matches!(reply, Ok(platform_adapter::engine::Reply::OtherInstance)) {
-            self.receive_former(order.instance.clone());
+            self.receive_stale_incarnation(order.instance.clone());
         }
-        let said = match &reply {
+        let reply_text = match &reply {
             Ok(reply) => format!("{reply:?}"),
             Err(e) => e.to_string(),
         };
         Line::failure("order")
-            .flag("load", step.load)
-            .text("model", &step.model)
-            .text("adapter", step.adapter.as_deref().unwrap_or(""))
-            .num("planned_on", step.planned_on)
+            .flag("load", planned.load)
+            .text("model", &planned.model)
+            .text("adapter", planned.adapter.as_deref().unwrap_or(""))
+            .num("planned_on", planned.planned_on)
             .num("fence", fence)
-            .text("reply", &said)
+            .text("reply", &reply_text)
             .write();
-        let operation = if step.load { "load" } else { "unload" };
-        let labels = [("operation", operation), ("reply", said.as_str())];
+        let operation = if planned.load { "load" } else { "unload" };
+        let labels = [("operation", operation), ("reply", reply_text.as_str())];
         self.page.count("orders_total", &labels, 1);
         let reply = reply.ok();
         if reply == Some(platform_adapter::engine::Reply::Fenced) {
             self.fence = None;
             self.raise_fence();
         }
-        self.controller.replied(step, reply, self.now());
+        self.controller.replied(planned, reply, self.now());
         self.read().await;
         use platform_adapter::engine::Reply::{
             Accepted,
@@ -391,15 +395,15 @@
         matches!(reply, Some(Accepted | Holds))
     }
 
-    fn answer(&mut self, settled: Vec<(Asker, Outcome)>) {
-        for (asker, outcome) in settled {
+    fn send_outcomes(&mut self, resolved: Vec<(LoadRequestId, Outcome)>) {
+        for (id, outcome) in resolved {
             Line::new("want.done")
-                .num("seq", asker.seq)
+                .num("seq", id.seq)
                 .show("outcome", format_args!("{outcome:?}"))
                 .write();
-            let link = self.links.iter().find(|l| l.key == asker.link);
+            let link = self.links.iter().find(|l| l.key == id.link);
             let done = ToEntry::Done {
-                seq: asker.seq,
+                seq: id.seq,
                 outcome,
             };
             // An entry that does not read has given up on its question too.
@@ -421,7 +425,7 @@
                     }
                     Err(e) => {
                         Line::failure("fence.failed").show("error", e).write();
-                        tokio::time::sleep(FENCE_EVERY).await;
+                        tokio::time::sleep(FENCE_RETRY_INTERVAL).await;
                     }
                 }
             }
--- a/crates/stair-sidecar/src/process/dump.rs
+++ b/crates/stair-sidecar/src/process/dump.rs
@@ -23,23 +23,28 @@
     up_ms: u64,
     engine: SocketAddr,
     /// The engine's present life, and the store's revision that says so.
-    instance: Option<(Box<str>, u64)>,
+    #[serde(rename = "instance")]
+    incarnation: Option<(Box<str>, u64)>,
     /// The last life that the engine said it is not.
-    former: Option<Box<str>>,
+    #[serde(rename = "former")]
+    stale_incarnation: Option<Box<str>>,
     /// The fencing token that orders bear.
     fence: Option<u64>,
     /// The version of the catalogue that declared the engine, 0 for none.
     declared: u64,
     /// Readings that failed in a row.
-    misses: u32,
-    holds: Holds,
+    #[serde(rename = "misses")]
+    failed_reads: u32,
+    #[serde(rename = "holds")]
+    inventory: Holds,
     load: Load,
     /// How fast the engine reads prompts, as far as they have told.
     rates: Vec<Rate>,
     /// Load requests that wait, prefetches among them.
     load_requests: usize,
     /// What is left of the allowances that are counted here.
-    allowances: Ledger,
+    #[serde(rename = "allowances")]
+    quotas: Ledger,
     /// Requests that are blamed for the ends of targets.
     quarantine: Vec<quarantine::Record>,
     /// Entries that are linked, with how far each one's knowledge goes.
@@ -53,16 +58,16 @@
             name: self.settings.name.clone(),
             up_ms: u64::try_from(now.as_millis()).unwrap_or(u64::MAX),
             engine: self.settings.engine,
-            instance: self.instance.clone(),
-            former: self.former.clone(),
+            incarnation: self.incarnation.clone(),
+            stale_incarnation: self.stale_incarnation.clone(),
             fence: self.fence,
             declared: self.declared,
-            misses: self.misses,
-            holds: self.controller.held(),
+            failed_reads: self.failed_reads,
+            inventory: self.controller.inventory(),
             load: self.load(),
             rates: self.prefills.rates().to_vec(),
             load_requests: self.controller.load_requests(),
-            allowances: self.ledgers.allowances.ledger(),
+            quotas: self.ledgers.quotas.ledger(),
             quarantine: self.ledgers.quarantine.ledger().records().to_vec(),
             entries: self.links.iter().map(|l| l.known.clone()).collect(),
         }
--- a/crates/stair-sidecar/src/process/publish.rs
+++ b/crates/stair-sidecar/src/process/publish.rs
@@ -21,17 +21,17 @@
 use crate::usage::LinkKey;
 
 /// Pause between reports without a change; entries take three missed ones for a dead agent.
-const REPORT_EVERY: Duration = Duration::from_millis(900);
+const REPORT_INTERVAL: Duration = Duration::from_millis(900);
 
 /// Time for an entry to answer what its agent asks of it; after that another one is asked.
-const DECLARE_TIME: Duration = Duration::from_millis(300);
+const DECLARE_TIMEOUT: Duration = Duration::from_millis(300);
 
 /// Pause between reports of changed load alone.
-const LOAD_EVERY: Duration = Duration::from_millis(200);
+const LOAD_INTERVAL: Duration = Duration::from_millis(200);
 
 /// The same for each link: with thirty entries a change is told every 600 ms, so that telling does not take
 /// more of the VM than ordering.
-const LOAD_EVERY_LINK: Duration = Duration::from_millis(20);
+const LOAD_INTERVAL_PER_LINK: Duration = Duration::from_millis(20);
 
 impl Agent {
     /// Tells entries of the others when the least name, their number or who watches the store for them
@@ -53,7 +53,7 @@
     }
 
     /// Tells an entry that lags who is ahead of it.
-    pub(super) fn publish_newer(&self, key: LinkKey) {
+    pub(super) fn publish_newer_peers(&self, key: LinkKey) {
         let link = self.links.iter().find(|l| l.key == key);
         let Some((link, own)) = link.and_then(|l| Some((l, l.known.as_ref()?))) else {
             return;
@@ -64,15 +64,15 @@
     }
 
     /// Asks an entry that knows a newer declaration for it, unless another one has been asked just now.
-    pub(super) fn ask_declared(&mut self, key: LinkKey) {
-        let due = |at: Instant| at.elapsed() >= DECLARE_TIME;
-        if !self.asked_declared.is_none_or(due) {
+    pub(super) fn request_declaration(&mut self, key: LinkKey) {
+        let due = |at: Instant| at.elapsed() >= DECLARE_TIMEOUT;
+        if !self.declaration_requested_at.is_none_or(due) {
             return;
         }
         let link = self.links.iter().find(|l| l.key == key);
         // A full queue belongs to an entry that does not read; the next one that speaks is asked.
         if link.is_some_and(|l| l.tx.try_send(ToEntry::Declare).is_ok()) {
-            self.asked_declared = Some(Instant::now());
+            self.declaration_requested_at = Some(Instant::now());
         }
     }
 
@@ -82,15 +82,15 @@
 
     /// Tells what is new, or the load as a heartbeat.
     pub(super) fn publish(&mut self) {
-        let holds = self.controller.held();
-        if self.published_holds.as_ref() != Some(&holds) {
-            log_holds(&holds);
-            let before = self.published_holds.iter().flat_map(|h| &h.models);
+        let holds = self.controller.inventory();
+        if self.published_inventory.as_ref() != Some(&holds) {
+            log_inventory(&holds);
+            let before = self.published_inventory.iter().flat_map(|h| &h.models);
             for gone in before.filter(|h| holds.model(&h.name).is_none()) {
                 self.prefills.unloaded(&gone.name);
             }
             self.broadcast(&ToEntry::Holds(Box::new(holds.clone())));
-            self.published_holds = Some(holds);
+            self.published_inventory = Some(holds);
         }
         let load = self.load();
         if self.load_is_due(&load) {
@@ -130,9 +130,9 @@
             )
         };
         let links = u32::try_from(self.links.len()).unwrap_or(u32::MAX);
-        let pause = LOAD_EVERY.max(LOAD_EVERY_LINK * links);
+        let pause = LOAD_INTERVAL.max(LOAD_INTERVAL_PER_LINK * links);
         orders(last) != orders(load)
-            || at.elapsed() >= REPORT_EVERY
+            || at.elapsed() >= REPORT_INTERVAL
             || (at.elapsed() >= pause && work(last) != work(load))
     }
 
@@ -141,10 +141,10 @@
         let Some(link) = self.links.iter().find(|l| l.key == key) else {
             return;
         };
-        let holds = ToEntry::Holds(Box::new(self.controller.held()));
+        let holds = ToEntry::Holds(Box::new(self.controller.inventory()));
         let load = ToEntry::Load(Box::new(self.load()));
-        let former = self.former.clone().map(ToEntry::Former);
-        for msg in [holds, load].into_iter().chain(former) {
+        let stale = self.stale_incarnation.clone().map(ToEntry::Former);
+        for msg in [holds, load].into_iter().chain(stale) {
             if link.tx.try_send(msg).is_err() {
                 self.page.count("untold_total", &[], 1);
             }
@@ -163,7 +163,7 @@
 }
 
 /// Says what the engine holds from now on.
-fn log_holds(holds: &Holds) {
+fn log_inventory(holds: &Holds) {
     let models = holds.models.iter().map(|h| match h.adapters.len() {
         0 => h.name.to_string(),
         _ => format!("{}+{}", h.name, h.adapters.join("+")),
--- a/crates/stair-sidecar/src/process/receive.rs
+++ b/crates/stair-sidecar/src/process/receive.rs
@@ -14,7 +14,7 @@
     Link, //
 };
 use crate::{
-    controller::Asker,
+    controller::LoadRequestId,
     links::Event,
     usage::LinkKey, //
 };
@@ -33,7 +33,7 @@
             }
             Event::Closed(key) => {
                 self.links.retain(|l| l.key != key);
-                self.controller.gone(key);
+                self.controller.disconnected(key);
             }
             Event::Message(key, msg) => self.receive(key, msg),
             // Whoever asked may have gone.
@@ -51,10 +51,10 @@
                     link.known = Some(known);
                 }
                 if lags {
-                    self.publish_newer(key);
+                    self.publish_newer_peers(key);
                 }
                 if newer {
-                    self.ask_declared(key);
+                    self.request_declaration(key);
                 }
             }
             ToAgent::Engine { version, engine } if version >= self.declared => {
@@ -62,19 +62,19 @@
                     Line::new("declared").num("version", version).write();
                 }
                 self.declared = version;
-                self.asked_declared = None;
+                self.declaration_requested_at = None;
                 self.controller.declare(engine);
             }
             // An entry that lags sends what is no longer in force.
             ToAgent::Engine { .. } => {}
             ToAgent::Instance { id, revision } => {
-                self.learn_instance(id, revision);
+                self.update_incarnation(id, revision);
                 // The entry begins with this life and knows nothing of what it holds: what was told
                 // before it knew of this life counted for the one before, and a model on the disk
                 // would be fetched from the weight store.
                 self.publish_all(key);
             }
-            ToAgent::Former(id) => self.receive_former(id),
+            ToAgent::Former(id) => self.receive_stale_incarnation(id),
             ToAgent::LoadRequest(req) => {
                 let seq = req.seq;
                 Line::new("want")
@@ -83,14 +83,14 @@
                     .num("fetch", req.fetch.unwrap_or(0))
                     .write();
                 self.controller
-                    .request_load(Asker { link: key, seq }, req, now);
+                    .request_load(LoadRequestId { link: key, seq }, req, now);
             }
             ToAgent::Cancel(seq) => {
                 Line::new("want.taken_back").num("seq", seq).write();
-                self.controller.cancel(Asker { link: key, seq });
+                self.controller.cancel(LoadRequestId { link: key, seq });
             }
             ToAgent::Prefill { seq, ask } => {
-                let answer = if self.controller.is_leaving(&ask.model) {
+                let answer = if self.controller.is_evicting(&ask.model) {
                     Answer::leaving(&ask)
                 } else {
                     self.prefills
@@ -99,14 +99,15 @@
                 // One that asks again has been counted.
                 if answer.booked || ask.first {
                     let work = self.prefills.work(&ask, answer.kept);
-                    self.controller.prompt(&ask.model, answer.booked, work, now);
+                    self.controller
+                        .record_prompt(&ask.model, answer.booked, work, now);
                 }
                 let link = self.links.iter().find(|l| l.key == key);
                 // An entry that does not read goes without its slot.
                 link.map(|l| l.tx.try_send(ToEntry::Prefill { seq, answer }));
             }
-            ToAgent::Unserved(model) => self.controller.count_unserved(&model, now),
-            ToAgent::Used(list) => self.controller.used(key, &list, now),
+            ToAgent::Unserved(model) => self.controller.record_unserved(&model, now),
+            ToAgent::Used(list) => self.controller.record_use(key, &list, now),
             ToAgent::Read(list) => list.iter().for_each(|r| self.prefills.learn(r)),
             // Answered by the link itself.
             ToAgent::Allow { .. } | ToAgent::GiveBack { .. } | ToAgent::Quarantine(_) => {}
@@ -117,25 +118,28 @@
     ///
     /// The refusal need not name the present life. Until that is known, entries are told that the engine takes no
     /// orders.
-    pub(super) fn receive_former(&mut self, id: Box<str>) {
-        if self.former.as_ref() == Some(&id) {
+    pub(super) fn receive_stale_incarnation(&mut self, id: Box<str>) {
+        if self.stale_incarnation.as_ref() == Some(&id) {
             return;
         }
         Line::failure("instance.former").text("id", &id).write();
-        if self.instance.as_ref().is_some_and(|(i, _)| *i == id) {
-            self.instance = None;
+        if self.incarnation.as_ref().is_some_and(|(i, _)| *i == id) {
+            self.incarnation = None;
         }
-        self.former = Some(id.clone());
+        self.stale_incarnation = Some(id.clone());
         self.broadcast(&ToEntry::Former(id));
     }
 
-    pub(super) fn learn_instance(&mut self, id: Box<str>, revision: u64) {
+    pub(super) fn update_incarnation(&mut self, id: Box<str>, revision: u64) {
         // An entry that lags still names the life before.
-        if self.former.as_ref() == Some(&id) {
+        if self.stale_incarnation.as_ref() == Some(&id) {
             return;
         }
-        let newer = self.instance.as_ref().is_none_or(|(_, r)| revision >= *r);
-        let other = self.instance.as_ref().is_none_or(|(i, _)| *i != id);
+        let newer = self
+            .incarnation
+            .as_ref()
+            .is_none_or(|(_, r)| revision >= *r);
+        let other = self.incarnation.as_ref().is_none_or(|(i, _)| *i != id);
         if newer {
             if other {
                 Line::new("instance")
@@ -144,7 +148,7 @@
                     .write();
                 self.prefills.clear();
             }
-            self.instance = Some((id, revision));
+            self.incarnation = Some((id, revision));
         }
     }
 }
--- a/crates/stair-sidecar/src/quarantine.rs
+++ b/crates/stair-sidecar/src/quarantine.rs
@@ -66,7 +66,7 @@
         let mut inner = self.lock();
         let known = inner.ledger.notices(now);
         if !known.is_empty() {
-            self.tell(&tx, &known);
+            self.send(&tx, &known);
         }
         inner.links.push((key, tx));
     }
@@ -116,9 +116,9 @@
             } => {
                 let mut inner = self.lock();
                 let granted = inner.ledger.begin_trial(fingerprint, &target, key.0, now);
-                let answer = ToEntry::Quarantine(ToWatchlist::Trial { seq, granted });
+                let reply = ToEntry::Quarantine(ToWatchlist::Trial { seq, granted });
                 // An entry that does not read runs the request without the answer.
-                let _ = tx.try_send(answer);
+                let _ = tx.try_send(reply);
             }
             ToLedger::TrialEnded(fingerprint) => self.lock().ledger.end_trial(fingerprint, now),
         }
@@ -154,11 +154,11 @@
                 .count("quarantine_total", &[("standing", standing)], 1);
         }
         for (_, tx) in &inner.links {
-            self.tell(tx, new);
+            self.send(tx, new);
         }
     }
 
-    fn tell(&self, tx: &mpsc::Sender<ToEntry>, list: &[Notice]) {
+    fn send(&self, tx: &mpsc::Sender<ToEntry>, list: &[Notice]) {
         let msg = ToEntry::Quarantine(ToWatchlist::Known(list.to_vec()));
         // An entry that does not read is told all when its next link begins.
         if tx.try_send(msg).is_err() {
--- a/crates/stair-sidecar/src/allowances.rs
+++ b/crates/stair-sidecar/src/quotas.rs
@@ -26,13 +26,13 @@
 use tokio::time::Instant;
 
 /// The allowances that this agent counts.
-pub struct Allowances {
+pub struct Quotas {
     started: Instant,
     page: Arc<Page>,
     ledger: Mutex<Ledger>,
 }
 
-impl Allowances {
+impl Quotas {
     /// Makes it with nothing counted yet.
     pub fn new(page: Arc<Page>) -> Self {
         Self {
@@ -43,9 +43,9 @@
     }
 
     /// Answers an entry.
-    pub fn ask(&self, ask: &Ask) -> Answer {
+    pub fn request(&self, ask: &Ask) -> Answer {
         let now = self.now();
-        let (answer, crossing) = self.lock().ask(ask, now);
+        let (reply, crossing) = self.lock().ask(ask, now);
         if let Some(crossing) = crossing {
             let event = match crossing {
                 Crossing::Over => "allowance.over",
@@ -56,18 +56,18 @@
                 .num("catalogue", ask.version)
                 .num("per_s", ask.allowance.per_s as i64)
                 .num("burst", ask.allowance.burst as i64)
-                .ms("wait_ms", answer.wait)
+                .ms("wait_ms", reply.wait)
                 .flag("stand_in", ask.stand_in)
                 .write();
         }
-        let outcome = if answer.granted { "granted" } else { "refused" };
+        let outcome = if reply.granted { "granted" } else { "refused" };
         let labels = [("outcome", outcome)];
         self.page.count("allowances_total", &labels, 1);
-        answer
+        reply
     }
 
     /// Gives back what a request has cost that was not run.
-    pub fn give_back(&self, workspace: &str, cost: f64) {
+    pub fn refund(&self, workspace: &str, cost: f64) {
         let now = self.now();
         self.lock().give_back(workspace, cost, now);
     }
--- a/crates/stair-sidecar/src/usage.rs
+++ b/crates/stair-sidecar/src/usage.rs
@@ -8,11 +8,11 @@
 };
 
 /// Time constant of the request rates, in seconds: demand moves between models within six.
-const RATE_TIME_S: f64 = 1.8;
+const RATE_TIME_CONSTANT_S: f64 = 1.8;
 
 /// Time for which a model or adapter that was asked for is not dropped for another. The request
 /// that asked is on its way; dropping the model under it would have both load in turn for ever.
-const SETTLE_TIME: Duration = Duration::from_millis(600);
+const EVICTION_HOLD_DURATION: Duration = Duration::from_millis(600);
 
 /// One connection of an entry.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
@@ -20,11 +20,11 @@
 
 impl LinkKey {
     /// No connection: the agent itself.
-    pub const OWN: Self = Self(0);
+    pub const AGENT: Self = Self(0);
 }
 
 /// Use of one model, or of an adapter as `MODEL/NAME`.
-struct Use {
+struct UsageEntry {
     name: Box<str>,
     per_s: f64,
     /// Part of the engine's time that it took lately.
@@ -40,12 +40,12 @@
 #[derive(Default)]
 pub struct Usage {
     /// Sorted by name.
-    list: Vec<Use>,
+    list: Vec<UsageEntry>,
 }
 
 impl Usage {
     /// Notes that a model, and its adapter if the load request names one, was asked for.
-    pub fn note_request(&mut self, req: &LoadRequest, now: Duration) {
+    pub fn record_request(&mut self, req: &LoadRequest, now: Duration) {
         self.entry(&req.model, now).requested = Some(now);
         let name = key(&req.model, req.adapter.as_deref());
         self.entry(&name, now).requested = Some(now);
@@ -55,13 +55,13 @@
     ///
     /// A rejected prompt counts as demand, or a saturated model would get no further replica. An admitted one is on
     /// its way, and its model is not evicted under it.
-    pub fn prompt(&mut self, model: &str, booked: bool, work: Duration, now: Duration) {
+    pub fn record_prompt(&mut self, model: &str, admitted: bool, work: Duration, now: Duration) {
         let entry = self.entry(model, now);
-        entry.work += work.as_secs_f64() / RATE_TIME_S;
-        if booked {
+        entry.work += work.as_secs_f64() / RATE_TIME_CONSTANT_S;
+        if admitted {
             entry.requested = Some(now);
         } else {
-            entry.per_s += 1.0 / RATE_TIME_S;
+            entry.per_s += 1.0 / RATE_TIME_CONSTANT_S;
         }
     }
 
@@ -69,7 +69,7 @@
     pub fn take(&mut self, link: LinkKey, list: &[Used], now: Duration) {
         for used in list {
             let entry = self.entry(&used.model, now);
-            entry.per_s += f64::from(used.sent) / RATE_TIME_S;
+            entry.per_s += f64::from(used.sent) / RATE_TIME_CONSTANT_S;
             entry.in_flight.retain(|(l, _)| *l != link);
             if used.in_flight > 0 {
                 entry.in_flight.push((link, used.in_flight));
@@ -79,7 +79,7 @@
 
     /// Counts a request for a model.
     pub fn count(&mut self, model: &str, now: Duration) {
-        self.entry(model, now).per_s += 1.0 / RATE_TIME_S;
+        self.entry(model, now).per_s += 1.0 / RATE_TIME_CONSTANT_S;
     }
 
     /// Requests a second lately for each name.
@@ -88,20 +88,20 @@
     }
 
     /// Forgets a connection.
-    pub fn forget(&mut self, link: LinkKey) {
+    pub fn remove_link(&mut self, link: LinkKey) {
         for entry in &mut self.list {
             entry.in_flight.retain(|(l, _)| *l != link);
         }
     }
 
     /// Whether neither it nor, for a model, one of its adapters was asked for a moment ago.
-    pub fn settled(&self, name: &str, now: Duration) -> bool {
+    pub fn eviction_hold_elapsed(&self, name: &str, now: Duration) -> bool {
         let prefix = format!("{name}/");
         self.list
             .iter()
             .filter(|u| *u.name == *name || u.name.starts_with(&prefix))
             .filter_map(|u| u.requested)
-            .all(|at| now.saturating_sub(at) > SETTLE_TIME)
+            .all(|at| now.saturating_sub(at) > EVICTION_HOLD_DURATION)
     }
 
     /// When it was last asked for.
@@ -122,19 +122,19 @@
 
     /// Part of the engine's time that it took lately.
     pub fn work(&self, name: &str, now: Duration) -> f64 {
-        self.find(name).map_or(0.0, |u| u.work * u.left(now))
+        self.find(name).map_or(0.0, |u| u.work * u.decay(now))
     }
 
-    fn find(&self, name: &str) -> Option<&Use> {
+    fn find(&self, name: &str) -> Option<&UsageEntry> {
         let i = self.list.binary_search_by(|u| (*u.name).cmp(name)).ok()?;
         Some(&self.list[i])
     }
 
-    fn entry(&mut self, name: &str, now: Duration) -> &mut Use {
+    fn entry(&mut self, name: &str, now: Duration) -> &mut UsageEntry {
         let i = match self.list.binary_search_by(|u| (*u.name).cmp(name)) {
             Ok(i) => i,
             Err(i) => {
-                let new = Use {
+                let new = UsageEntry {
                     name: name.into(),
                     per_s: 0.0,
                     work: 0.0,
@@ -147,22 +147,22 @@
             }
         };
         let entry = &mut self.list[i];
-        entry.work *= entry.left(now);
+        entry.work *= entry.decay(now);
         entry.per_s = entry.rate(now);
         entry.at = now;
         entry
     }
 }
 
-impl Use {
+impl UsageEntry {
     fn rate(&self, now: Duration) -> f64 {
-        self.per_s * self.left(now)
+        self.per_s * self.decay(now)
     }
 
     /// Part of the averages that is left of what they were.
-    fn left(&self, now: Duration) -> f64 {
+    fn decay(&self, now: Duration) -> f64 {
         let passed = now.saturating_sub(self.at).as_secs_f64();
-        (-passed / RATE_TIME_S).exp()
+        (-passed / RATE_TIME_CONSTANT_S).exp()
     }
 }
 
--- a/crates/stair-sidecar/tests/controller.rs
+++ b/crates/stair-sidecar/tests/controller.rs
@@ -24,10 +24,10 @@
 };
 use stair_sidecar::{
     controller::{
-        Asker,
         Controller,
+        LoadRequestId,
         Options,
-        Step, //
+        PlannedOrder, //
     },
     usage::LinkKey,
 };
@@ -83,8 +83,8 @@
     }
 }
 
-fn asker(seq: u64) -> Asker {
-    Asker {
+fn id(seq: u64) -> LoadRequestId {
+    LoadRequestId {
         link: LinkKey(1),
         seq,
     }
@@ -97,12 +97,12 @@
     ctl
 }
 
-fn next(ctl: &mut Controller, now: Duration) -> Option<Step> {
+fn next(ctl: &mut Controller, now: Duration) -> Option<PlannedOrder> {
     ctl.next(&mut Vec::new(), now)
 }
 
-fn step(load: bool, model: &str, adapter: Option<&str>, planned_on: u64) -> Step {
-    Step {
+fn planned(load: bool, model: &str, adapter: Option<&str>, planned_on: u64) -> PlannedOrder {
+    PlannedOrder {
         load,
         model: model.into(),
         adapter: adapter.map(Into::into),
@@ -111,20 +111,24 @@
 }
 
 #[test]
-fn room_is_made_first() {
+fn evicts_before_loading() {
     let mut ctl = controller(&[("a", &[]), ("b", &[])]);
-    ctl.used(LinkKey(2), &[used("a", 3, 1)], ms(0));
-    ctl.request_load(asker(1), req("c", None), ms(2000));
+    ctl.record_use(LinkKey(2), &[used("a", 3, 1)], ms(0));
+    ctl.request_load(id(1), req("c", None), ms(2000));
     let first = next(&mut ctl, ms(2000));
-    assert_eq!(first, Some(step(false, "b", None, 1)), "the idle one goes");
+    assert_eq!(
+        first,
+        Some(planned(false, "b", None, 1)),
+        "the idle one goes"
+    );
     let first = first.expect("a step");
     ctl.replied(&first, Some(Reply::Accepted), ms(2000));
     assert_eq!(next(&mut ctl, ms(2010)), None, "one order at a time");
     ctl.read(Some(reading(2, &[("a", &[])])), ms(2100));
-    assert_eq!(next(&mut ctl, ms(2100)), Some(step(true, "c", None, 2)));
+    assert_eq!(next(&mut ctl, ms(2100)), Some(planned(true, "c", None, 2)));
     ctl.read(Some(reading(3, &[("a", &[]), ("c", &[])])), ms(3000));
-    let settled = ctl.settle(true, ms(3000));
-    assert_eq!(settled, vec![(asker(1), Outcome::Ready)]);
+    let resolved = ctl.resolve(true, ms(3000));
+    assert_eq!(resolved, vec![(id(1), Outcome::Ready)]);
 }
 
 fn used(model: &str, sent: u32, in_flight: u32) -> Used {
@@ -139,12 +143,12 @@
 /// model were dropped as soon as it is there, both would load in turn and none of the requests that
 /// waited would run.
 #[test]
-fn settles_before_it_goes() {
+fn eviction_hold_after_a_request() {
     let mut ctl = controller(&[("a", &[]), ("b", &[])]);
-    ctl.request_load(asker(1), req("a", None), ms(5000));
-    ctl.request_load(asker(2), req("b", None), ms(5000));
-    assert_eq!(ctl.settle(true, ms(5000)).len(), 2);
-    ctl.request_load(asker(3), req("c", None), ms(5010));
+    ctl.request_load(id(1), req("a", None), ms(5000));
+    ctl.request_load(id(2), req("b", None), ms(5000));
+    assert_eq!(ctl.resolve(true, ms(5000)).len(), 2);
+    ctl.request_load(id(3), req("c", None), ms(5010));
     let mut refused = Vec::new();
     assert_eq!(ctl.next(&mut refused, ms(5010)), None);
     assert_eq!((refused, ctl.load_requests()), (vec![], 1), "it waits");
@@ -156,39 +160,45 @@
 #[test]
 fn nothing_while_busy() {
     let mut ctl = controller(&[("a", &[])]);
-    ctl.request_load(asker(1), req("c", None), ms(0));
+    ctl.request_load(id(1), req("c", None), ms(0));
     let load = next(&mut ctl, ms(0)).expect("a load");
     ctl.replied(&load, Some(Reply::Accepted), ms(0));
-    ctl.request_load(asker(2), req("a", Some("x")), ms(10));
+    ctl.request_load(id(2), req("a", Some("x")), ms(10));
     assert_eq!(next(&mut ctl, ms(10)), None);
     let mut busy = reading(2, &[("a", &[])]);
     busy.busy = true;
     ctl.read(Some(busy), ms(100));
     assert_eq!(next(&mut ctl, ms(100)), None);
     ctl.read(Some(reading(2, &[("a", &[]), ("c", &[])])), ms(900));
-    assert_eq!(next(&mut ctl, ms(900)), Some(step(true, "a", Some("x"), 2)));
+    assert_eq!(
+        next(&mut ctl, ms(900)),
+        Some(planned(true, "a", Some("x"), 2))
+    );
 }
 
 /// An adapter that is still in use makes way only when its requests have ended. Ordered away again
 /// and again, or another one with it, the engine would lose more than it has to.
 #[test]
-fn one_adapter_makes_way() {
+fn one_adapter_unload_at_a_time() {
     let mut ctl = controller(&[("a", &["x", "y"])]);
-    ctl.request_load(asker(1), req("a", Some("z")), ms(0));
+    ctl.request_load(id(1), req("a", Some("z")), ms(0));
     let drop = next(&mut ctl, ms(0)).expect("room is made");
     assert!(!drop.load && drop.adapter.is_some());
     ctl.replied(&drop, Some(Reply::Accepted), ms(0));
     ctl.read(Some(reading(2, &[("a", &["x", "y"])])), ms(40));
     assert_eq!(next(&mut ctl, ms(40)), None, "it is on its way out");
     ctl.read(Some(reading(2, &[("a", &["y"])])), ms(80));
-    assert_eq!(next(&mut ctl, ms(80)), Some(step(true, "a", Some("z"), 2)));
+    assert_eq!(
+        next(&mut ctl, ms(80)),
+        Some(planned(true, "a", Some("z"), 2))
+    );
 }
 
 /// The engine refuses since another order came first. Asking again at once would be refused again.
 #[test]
 fn pause_after_conflict() {
     let mut ctl = controller(&[("a", &[])]);
-    ctl.request_load(asker(1), req("b", None), ms(0));
+    ctl.request_load(id(1), req("b", None), ms(0));
     let load = next(&mut ctl, ms(0)).expect("a load");
     ctl.replied(&load, Some(Reply::Conflict), ms(0));
     assert_eq!(next(&mut ctl, ms(50)), None);
@@ -198,9 +208,9 @@
 /// The answer to an order is lost. The same order is given again, planned on the same state, so
 /// that the engine carries out one of the two at most.
 #[test]
-fn same_plan_after_silence() {
+fn same_order_after_a_lost_reply() {
     let mut ctl = controller(&[("a", &[])]);
-    ctl.request_load(asker(1), req("b", None), ms(0));
+    ctl.request_load(id(1), req("b", None), ms(0));
     let first = next(&mut ctl, ms(0)).expect("a load");
     ctl.replied(&first, None, ms(400));
     assert_eq!(next(&mut ctl, ms(400)), Some(first));
@@ -210,46 +220,43 @@
 #[test]
 fn no_control() {
     let mut ctl = controller(&[("a", &[])]);
-    ctl.request_load(asker(1), req("b", None), ms(0));
-    ctl.request_load(asker(2), req("a", None), ms(0));
-    let settled = ctl.settle(false, ms(0));
-    assert!(settled.contains(&(asker(1), Outcome::NoControl)));
-    assert!(settled.contains(&(asker(2), Outcome::Ready)));
+    ctl.request_load(id(1), req("b", None), ms(0));
+    ctl.request_load(id(2), req("a", None), ms(0));
+    let resolved = ctl.resolve(false, ms(0));
+    assert!(resolved.contains(&(id(1), Outcome::NoControl)));
+    assert!(resolved.contains(&(id(2), Outcome::Ready)));
 }
 
 /// Only the weight store has the model and the entry has not allowed a load from there.
 #[test]
-fn store_needs_leave() {
+fn store_load_needs_permission() {
     let mut ctl = controller(&[("a", &[])]);
-    ctl.request_load(asker(1), req("d", None), ms(0));
-    assert_eq!(
-        ctl.settle(true, ms(0)),
-        vec![(asker(1), Outcome::StoreBusy)]
-    );
+    ctl.request_load(id(1), req("d", None), ms(0));
+    assert_eq!(ctl.resolve(true, ms(0)), vec![(id(1), Outcome::StoreBusy)]);
 }
 
 /// A load request that no client waits for stands behind one that a request waits for.
 #[test]
-fn ahead_gives_way() {
+fn request_before_prefetch() {
     let mut ctl = controller(&[("a", &[])]);
     let prefetch = LoadRequest {
         prefetch: true,
         of_use: Duration::from_secs(14),
         ..req("b", None)
     };
-    ctl.request_load(asker(1), prefetch, ms(0));
-    ctl.request_load(asker(2), req("c", None), ms(1));
-    assert_eq!(next(&mut ctl, ms(1)), Some(step(true, "c", None, 1)));
+    ctl.request_load(id(1), prefetch, ms(0));
+    ctl.request_load(id(2), req("c", None), ms(1));
+    assert_eq!(next(&mut ctl, ms(1)), Some(planned(true, "c", None, 1)));
     assert_eq!(ctl.load(ms(1)).to_load, ms(1600));
 }
 
 /// An entry's link is gone: nobody waits for its load requests, and its requests count no more.
 #[test]
-fn forgets_a_link() {
+fn disconnect_drops_requests() {
     let mut ctl = controller(&[("a", &[])]);
-    ctl.request_load(asker(1), req("b", None), ms(0));
-    ctl.used(LinkKey(1), &[used("a", 1, 5)], ms(0));
-    ctl.gone(LinkKey(1));
+    ctl.request_load(id(1), req("b", None), ms(0));
+    ctl.record_use(LinkKey(1), &[used("a", 1, 5)], ms(0));
+    ctl.disconnected(LinkKey(1));
     assert!(!ctl.has_load_requests());
     let load = ctl.load(ms(0));
     assert!(load.usage.iter().all(|u| u.in_flight == 0));
@@ -258,7 +265,7 @@
 /// A model's only replica is crowded: of ten prompts a second it lets four through, the others are
 /// refused. What is told as its use has to show all ten, or no further replica is made.
 #[test]
-fn refused_prompts_count() {
+fn refused_prompts_are_demand() {
     let mut ctl = controller(&[("m1", &[])]);
     let used = |sent| {
         vec![Used {
@@ -270,9 +277,9 @@
     for n in 0..40 {
         let now = ms(100 * n);
         if n % 10 < 4 {
-            ctl.used(LinkKey(1), &used(1), now);
+            ctl.record_use(LinkKey(1), &used(1), now);
         } else {
-            ctl.prompt("m1", false, ms(20), now);
+            ctl.record_prompt("m1", false, ms(20), now);
         }
     }
     let load = ctl.load(ms(4000));
@@ -281,7 +288,7 @@
 }
 
 /// A controller whose engine has no copy of model "d", which has been asked for beside two other loads.
-fn fetching(opts: Options) -> Controller {
+fn controller_with_store_load(opts: Options) -> Controller {
     let mut ctl = Controller::new(opts);
     ctl.declare(decl());
     ctl.read(Some(reading(1, &[])), ms(0));
@@ -289,7 +296,7 @@
         fetch: Some(3),
         ..req("d", None)
     };
-    ctl.request_load(asker(1), fetch, ms(0));
+    ctl.request_load(id(1), fetch, ms(0));
     let load = next(&mut ctl, ms(0)).expect("a load");
     ctl.replied(&load, Some(Reply::Accepted), ms(0));
     let mut busy = reading(2, &[]);
@@ -301,8 +308,8 @@
 /// Loads that run together slow each other down at the weight store, which nobody can tell but those
 /// whose loads take longer than declared.
 #[test]
-fn tells_how_long_a_fetch_took() {
-    let mut ctl = fetching(Options::default());
+fn reports_store_load_duration() {
+    let mut ctl = controller_with_store_load(Options::default());
     let load = ctl.load(ms(9000));
     let times = load.loading.expect("under way").times;
     assert!((1.49..1.51).contains(&times), "{times}");
@@ -320,27 +327,31 @@
 /// followed by a load, an engine that crashes again and again would use up what the weight store
 /// allows to all.
 #[test]
-fn one_fetch_in_a_window() {
+fn one_store_load_per_window() {
     let opts = Options {
         fetch_window: ms(5000),
     };
-    let mut ctl = fetching(opts);
+    let mut ctl = controller_with_store_load(opts);
     ctl.read(Some(reading(0, &[])), ms(1000));
     assert_eq!(next(&mut ctl, ms(1000)), None);
-    ctl.request_load(asker(2), req("a", None), ms(1000));
+    ctl.request_load(id(2), req("a", None), ms(1000));
     let near = next(&mut ctl, ms(1000));
-    assert_eq!(near, Some(step(true, "a", None, 0)), "copies may be used");
+    assert_eq!(
+        near,
+        Some(planned(true, "a", None, 0)),
+        "copies may be used"
+    );
     ctl.read(Some(reading(1, &[("a", &[])])), ms(2000));
     assert_eq!(next(&mut ctl, ms(4999)), None);
-    assert_eq!(next(&mut ctl, ms(5000)), Some(step(true, "d", None, 1)));
+    assert_eq!(next(&mut ctl, ms(5000)), Some(planned(true, "d", None, 1)));
 }
 
 /// An engine crashes in a load from the weight store and does not come back. Were the load told on,
 /// it would count as one of the few that run at once, ever later, and models that requests wait for
 /// would not be fetched.
 #[test]
-fn crash_ends_a_fetch() {
-    let mut ctl = fetching(Options::default());
+fn crash_ends_a_store_load() {
+    let mut ctl = controller_with_store_load(Options::default());
     assert!(ctl.load(ms(2000)).loading.is_some());
     ctl.read(None, ms(2000));
     let load = ctl.load(ms(9000));
@@ -351,63 +362,63 @@
 /// and the lost load can still be carried out where the count fits. Two models of 60 GB beside it would
 /// be more than the engine holds, and it would crash.
 #[test]
-fn late_load_of_a_former_life() {
+fn late_load_after_restart() {
     let mut ctl = controller(&[("a", &[])]);
-    let life = |started, sequence, models: &[(&str, &[&str])]| Reading {
+    let started_reading = |started, sequence, models: &[(&str, &[&str])]| Reading {
         started: Some(started),
         ..reading(sequence, models)
     };
-    ctl.read(Some(life(10, 1, &[])), ms(0));
-    ctl.request_load(asker(1), req("b", None), ms(0));
+    ctl.read(Some(started_reading(10, 1, &[])), ms(0));
+    ctl.request_load(id(1), req("b", None), ms(0));
     let lost = next(&mut ctl, ms(0)).expect("a load");
-    assert_eq!(lost, step(true, "b", None, 1));
+    assert_eq!(lost, planned(true, "b", None, 1));
     ctl.replied(&lost, None, ms(400));
-    ctl.gone(LinkKey(1));
-    ctl.read(Some(life(20, 1, &[("a", &[])])), ms(500));
-    ctl.request_load(asker(2), req("c", None), ms(500));
+    ctl.disconnected(LinkKey(1));
+    ctl.read(Some(started_reading(20, 1, &[("a", &[])])), ms(500));
+    ctl.request_load(id(2), req("c", None), ms(500));
     // With "a" there and "b" perhaps to come, "a" has to make way first.
-    assert_eq!(next(&mut ctl, ms(1500)), Some(step(false, "a", None, 1)));
+    assert_eq!(next(&mut ctl, ms(1500)), Some(planned(false, "a", None, 1)));
     // Once the count is past it, the lost load is refused by the engine.
-    ctl.read(Some(life(20, 2, &[("a", &[])])), ms(1600));
-    assert_eq!(next(&mut ctl, ms(1600)), Some(step(true, "c", None, 2)));
+    ctl.read(Some(started_reading(20, 2, &[("a", &[])])), ms(1600));
+    assert_eq!(next(&mut ctl, ms(1600)), Some(planned(true, "c", None, 2)));
 }
 
 /// What has to make way has a stream in flight, and an engine takes no order until a model that it
 /// unloads has run all its streams. Requests for adapters of a busy model beside it would wait for that.
 /// So the model gets no new requests first, and goes when its stream has ended.
 #[test]
-fn leaves_before_it_goes() {
+fn no_new_requests_before_unload() {
     let mut ctl = controller(&[("a", &[]), ("b", &[])]);
-    ctl.used(LinkKey(1), &[used("a", 1, 1), used("b", 9, 9)], ms(0));
-    let mut has_load_requests = req("c", None);
-    has_load_requests.victims = vec!["a".into()];
-    ctl.request_load(asker(1), has_load_requests, ms(1000));
+    ctl.record_use(LinkKey(1), &[used("a", 1, 1), used("b", 9, 9)], ms(0));
+    let mut request = req("c", None);
+    request.victims = vec!["a".into()];
+    ctl.request_load(id(1), request, ms(1000));
     assert_eq!(next(&mut ctl, ms(1000)), None);
-    assert!(ctl.is_leaving("a") && !ctl.is_leaving("b"));
+    assert!(ctl.is_evicting("a") && !ctl.is_evicting("b"));
     assert_eq!(ctl.load(ms(1000)).leaving, vec!["a".into()]);
-    ctl.request_load(asker(2), req("b", Some("x")), ms(1010));
+    ctl.request_load(id(2), req("b", Some("x")), ms(1010));
     assert_eq!(
         next(&mut ctl, ms(1010)),
-        Some(step(true, "b", Some("x"), 1))
+        Some(planned(true, "b", Some("x"), 1))
     );
-    ctl.cancel(asker(2));
-    ctl.used(LinkKey(1), &[used("a", 0, 0)], ms(1500));
-    assert_eq!(next(&mut ctl, ms(1500)), Some(step(false, "a", None, 1)));
+    ctl.cancel(id(2));
+    ctl.record_use(LinkKey(1), &[used("a", 0, 0)], ms(1500));
+    assert_eq!(next(&mut ctl, ms(1500)), Some(planned(false, "a", None, 1)));
 }
 
 /// The request that a model was to make way for has found its model elsewhere. The load that nobody
 /// waits for any more would push out what is in use.
 #[test]
-fn taken_back() {
+fn cancel_stops_eviction() {
     let mut ctl = controller(&[("a", &[]), ("b", &[])]);
-    ctl.used(LinkKey(1), &[used("a", 1, 1), used("b", 1, 1)], ms(0));
-    let mut has_load_requests = req("c", None);
-    has_load_requests.victims = vec!["a".into()];
-    ctl.request_load(asker(1), has_load_requests, ms(1000));
+    ctl.record_use(LinkKey(1), &[used("a", 1, 1), used("b", 1, 1)], ms(0));
+    let mut request = req("c", None);
+    request.victims = vec!["a".into()];
+    ctl.request_load(id(1), request, ms(1000));
     assert_eq!(next(&mut ctl, ms(1000)), None);
-    ctl.cancel(asker(1));
-    ctl.settle(true, ms(1010));
-    assert!(!ctl.is_leaving("a") && !ctl.has_load_requests());
+    ctl.cancel(id(1));
+    ctl.resolve(true, ms(1010));
+    assert!(!ctl.is_evicting("a") && !ctl.has_load_requests());
 }
 
 /// Many requests wait for one model and one for another that was asked for before it. One after the
@@ -415,74 +426,74 @@
 #[test]
 fn most_requests_first() {
     let mut ctl = controller(&[]);
-    ctl.request_load(asker(1), req("a", None), ms(0));
+    ctl.request_load(id(1), req("a", None), ms(0));
     for seq in 2..6 {
-        ctl.request_load(asker(seq), req("b", None), ms(seq));
+        ctl.request_load(id(seq), req("b", None), ms(seq));
     }
-    assert_eq!(next(&mut ctl, ms(10)), Some(step(true, "b", None, 1)));
+    assert_eq!(next(&mut ctl, ms(10)), Some(planned(true, "b", None, 1)));
 }
 
 /// An engine refuses an order by its fencing token and starts again before it is read. What was read of it
 /// is dropped with the refusal; were its start dropped as well, nobody would notice the restart, and a
 /// load that the life before left unanswered could come on top of a full engine.
 #[test]
-fn restart_after_a_refusal() {
+fn restart_after_a_fenced_order() {
     let mut ctl = controller(&[]);
-    let life = |started, sequence| Reading {
+    let started_reading = |started, sequence| Reading {
         started: Some(started),
         ..reading(sequence, &[("a", &[])])
     };
-    ctl.read(Some(life(10, 3)), ms(0));
-    ctl.request_load(asker(1), req("b", None), ms(0));
+    ctl.read(Some(started_reading(10, 3)), ms(0));
+    ctl.request_load(id(1), req("b", None), ms(0));
     let lost = next(&mut ctl, ms(0)).expect("a load");
     ctl.replied(&lost, None, ms(400));
     ctl.replied(&lost, Some(Reply::Fenced), ms(500));
-    assert!(ctl.read(Some(life(20, 3)), ms(600)));
-    ctl.cancel(asker(1));
-    ctl.request_load(asker(2), req("c", None), ms(600));
-    assert_eq!(next(&mut ctl, ms(1500)), Some(step(false, "a", None, 3)));
+    assert!(ctl.read(Some(started_reading(20, 3)), ms(600)));
+    ctl.cancel(id(1));
+    ctl.request_load(id(2), req("c", None), ms(600));
+    assert_eq!(next(&mut ctl, ms(1500)), Some(planned(false, "a", None, 3)));
 }
 
 /// An engine crashes with the only replica of a busy model and comes back empty, with its disk. Entries ask it
 /// for models again when the list has its new life, seconds later, and first for whichever request comes
 /// first. All that time the busy model's requests are refused.
 #[test]
-fn brings_back_what_was_used() {
+fn restores_used_models() {
     let mut ctl = controller(&[("a", &[]), ("b", &[])]);
-    ctl.used(LinkKey(2), &[used("a", 3, 1), used("b", 40, 9)], ms(0));
+    ctl.record_use(LinkKey(2), &[used("a", 3, 1), used("b", 40, 9)], ms(0));
     ctl.read(None, ms(1000));
     assert_eq!(next(&mut ctl, ms(1000)), None);
     ctl.read(Some(reading(0, &[])), ms(4000));
     assert!(
-        ctl.settle(false, ms(4000)).is_empty(),
+        ctl.resolve(false, ms(4000)).is_empty(),
         "it waits for a life"
     );
     let first = next(&mut ctl, ms(4000)).expect("a load");
-    assert_eq!(first, step(true, "b", None, 0), "the busier one first");
+    assert_eq!(first, planned(true, "b", None, 0), "the busier one first");
     ctl.replied(&first, Some(Reply::Accepted), ms(4000));
     ctl.read(Some(reading(1, &[("b", &[])])), ms(4800));
-    ctl.settle(true, ms(4800));
-    assert_eq!(next(&mut ctl, ms(4800)), Some(step(true, "a", None, 1)));
+    ctl.resolve(true, ms(4800));
+    assert_eq!(next(&mut ctl, ms(4800)), Some(planned(true, "a", None, 1)));
 }
 
 /// What requests ask for meanwhile goes first, and nothing makes way for what was there before.
 #[test]
-fn what_is_asked_for_goes_first() {
+fn requests_before_restore() {
     let mut ctl = controller(&[("a", &[]), ("b", &[])]);
-    ctl.used(LinkKey(2), &[used("a", 3, 0), used("b", 2, 0)], ms(0));
+    ctl.record_use(LinkKey(2), &[used("a", 3, 0), used("b", 2, 0)], ms(0));
     ctl.read(None, ms(1000));
     ctl.read(Some(reading(0, &[])), ms(4000));
-    ctl.request_load(asker(1), req("c", None), ms(4000));
+    ctl.request_load(id(1), req("c", None), ms(4000));
     let first = next(&mut ctl, ms(4000)).expect("a load");
-    assert_eq!(first, step(true, "c", None, 0));
+    assert_eq!(first, planned(true, "c", None, 0));
     ctl.replied(&first, Some(Reply::Accepted), ms(4000));
     ctl.read(Some(reading(1, &[("c", &[])])), ms(4800));
-    ctl.settle(true, ms(4800));
+    ctl.resolve(true, ms(4800));
     let second = next(&mut ctl, ms(4800)).expect("a load");
-    assert_eq!(second, step(true, "a", None, 1));
+    assert_eq!(second, planned(true, "a", None, 1));
     ctl.replied(&second, Some(Reply::Accepted), ms(4800));
     ctl.read(Some(reading(2, &[("a", &[]), ("c", &[])])), ms(5600));
-    ctl.settle(true, ms(5600));
+    ctl.resolve(true, ms(5600));
     assert_eq!(next(&mut ctl, ms(5600)), None);
     assert!(!ctl.has_load_requests(), "there is no room for the rest");
 }
--- a/crates/stair-sidecar/tests/load.rs
+++ b/crates/stair-sidecar/tests/load.rs
@@ -37,9 +37,9 @@
 };
 use stair_sidecar::{
     controller::{
-        Asker,
         Controller,
-        Step, //
+        LoadRequestId,
+        PlannedOrder, //
     },
     usage::LinkKey,
 };
@@ -49,9 +49,9 @@
 const ENTRIES: usize = 3;
 const TICK: Duration = Duration::from_millis(20);
 /// Age that reports and words of what was sent reach.
-const TELL: u32 = 12;
+const REPORT_TICKS: u32 = 12;
 /// How long a client waits for its first event.
-const PATIENCE: Duration = Duration::from_secs(8);
+const CLIENT_TIMEOUT: Duration = Duration::from_secs(8);
 /// What clients are promised.
 const OBJECTIVE: Duration = Duration::from_secs(2);
 
@@ -87,7 +87,7 @@
     controller: Controller,
     holds: Holds,
     sequence: u64,
-    doing: Option<(Step, Duration)>,
+    in_progress: Option<(PlannedOrder, Duration)>,
     /// Model, entry, and end of each stream.
     streams: Vec<(Box<str>, usize, Duration)>,
     /// Requests sent by each entry that the agent has not been told.
@@ -110,7 +110,7 @@
             controller,
             holds,
             sequence: 0,
-            doing: None,
+            in_progress: None,
             streams: Vec::new(),
             sent: Vec::new(),
         }
@@ -119,15 +119,15 @@
     /// Ends streams and orders, and gives the agent's next order.
     fn step(&mut self, now: Duration) {
         self.streams.retain(|(_, _, end)| *end > now);
-        let done = self.doing.take_if(|(step, at)| {
-            let running = self.streams.iter().any(|(m, _, _)| *m == step.model);
-            now >= *at && (step.load || !running)
+        let done = self.in_progress.take_if(|(planned, at)| {
+            let running = self.streams.iter().any(|(m, _, _)| *m == planned.model);
+            now >= *at && (planned.load || !running)
         });
-        if let Some((step, _)) = done {
-            self.holds.models.retain(|h| h.name != step.model);
-            if step.load {
+        if let Some((planned, _)) = done {
+            self.holds.models.retain(|h| h.name != planned.model);
+            if planned.load {
                 self.holds.models.push(Held {
-                    name: step.model,
+                    name: planned.model,
                     adapters: Vec::new(),
                 });
             }
@@ -137,29 +137,33 @@
             Some(Reading {
                 holds: self.holds.clone(),
                 sequence: self.sequence,
-                busy: self.doing.is_some(),
+                busy: self.in_progress.is_some(),
                 ..Reading::default()
             }),
             now,
         );
     }
 
-    fn order(&mut self, now: Duration) -> Vec<(Asker, Outcome)> {
-        let mut out = self.controller.settle(true, now);
-        if let Some(step) = self.controller.next(&mut out, now) {
+    fn order(&mut self, now: Duration) -> Vec<(LoadRequestId, Outcome)> {
+        let mut out = self.controller.resolve(true, now);
+        if let Some(planned) = self.controller.next(&mut out, now) {
             self.sequence += 1;
-            let takes = match (step.load, self.holds.copy(&step.model)) {
+            let takes = match (planned.load, self.holds.copy(&planned.model)) {
                 (false, _) => Duration::ZERO,
-                (true, copy) => decl().model(&step.model).expect("declared").load_time(copy),
+                (true, copy) => decl()
+                    .model(&planned.model)
+                    .expect("declared")
+                    .load_time(copy),
             };
-            self.doing = Some((step.clone(), now + takes));
-            self.controller.replied(&step, Some(Reply::Accepted), now);
+            self.in_progress = Some((planned.clone(), now + takes));
+            self.controller
+                .replied(&planned, Some(Reply::Accepted), now);
         }
         out
     }
 
     /// Tells the agent what the entries have sent.
-    fn tell_used(&mut self, now: Duration) {
+    fn report_use(&mut self, now: Duration) {
         for entry in 0..ENTRIES {
             let mut list: Vec<Used> = decl()
                 .models
@@ -171,7 +175,8 @@
             list.extend(self.holds.models.iter().map(|h| self.used(&h.name, entry)));
             list.sort_by(|a, b| a.model.cmp(&b.model));
             list.dedup_by(|a, b| a.model == b.model);
-            self.controller.used(LinkKey(entry as u64), &list, now);
+            self.controller
+                .record_use(LinkKey(entry as u64), &list, now);
         }
         self.sent.clear();
     }
@@ -199,14 +204,14 @@
     entry: usize,
     since: Duration,
     /// The engine that was asked for the model, and the question's number.
-    asked: Option<(usize, u64)>,
+    pending: Option<(usize, u64)>,
     refused: Vec<TargetKey>,
     stream: Duration,
 }
 
 /// What clients got.
 #[derive(Debug, Default)]
-struct Got {
+struct ClientResults {
     in_time: usize,
     late: usize,
     never: usize,
@@ -219,7 +224,7 @@
     keys: Vec<TargetKey>,
     waiting: Vec<Waiting>,
     seq: u64,
-    got: Got,
+    results: ClientResults,
 }
 
 impl Fleet {
@@ -245,17 +250,17 @@
             keys,
             waiting: Vec::new(),
             seq: 0,
-            got: Got::default(),
+            results: ClientResults::default(),
         }
     }
 
     /// Reports to the entries.
     fn report(&mut self, now: Duration) {
         for (n, engine) in self.engines.iter_mut().enumerate() {
-            engine.tell_used(now);
+            engine.report_use(now);
             for view in &mut self.views {
                 let addr = view.get(self.keys[n]).target.addr;
-                view.holds_at(addr, engine.controller.held(), now);
+                view.holds_at(addr, engine.controller.inventory(), now);
                 view.load_at(addr, engine.controller.load(now), now);
             }
         }
@@ -269,20 +274,20 @@
             if self.serve(&mut w, now) {
                 continue;
             }
-            if now - w.since >= PATIENCE {
-                self.take_back(&w);
-                self.got.never += 1;
+            if now - w.since >= CLIENT_TIMEOUT {
+                self.cancel(&w);
+                self.results.never += 1;
                 continue;
             }
             self.waiting.push(w);
         }
         for n in 0..ENGINES {
-            for (asker, outcome) in self.engines[n].order(now) {
-                let asked = Some((n, asker.seq));
-                let Some(w) = self.waiting.iter_mut().find(|w| w.asked == asked) else {
+            for (id, outcome) in self.engines[n].order(now) {
+                let pending = Some((n, id.seq));
+                let Some(w) = self.waiting.iter_mut().find(|w| w.pending == pending) else {
                     continue;
                 };
-                w.asked = None;
+                w.pending = None;
                 if outcome != Outcome::Ready {
                     w.refused.push(self.keys[n]);
                 }
@@ -294,24 +299,24 @@
     fn serve(&mut self, w: &mut Waiting, now: Duration) -> bool {
         let holds = |n: &usize| {
             let engine = &self.engines[*n];
-            engine.holds.model(&w.model).is_some() && !engine.controller.is_leaving(&w.model)
+            engine.holds.model(&w.model).is_some() && !engine.controller.is_evicting(&w.model)
         };
-        let crowd = |n: &usize| self.engines[*n].streams.len();
-        if let Some(n) = (0..ENGINES).filter(holds).min_by_key(crowd) {
-            self.take_back(w);
+        let stream_count = |n: &usize| self.engines[*n].streams.len();
+        if let Some(n) = (0..ENGINES).filter(holds).min_by_key(stream_count) {
+            self.cancel(w);
             let engine = &mut self.engines[n];
             engine
                 .streams
                 .push((w.model.clone(), w.entry, now + w.stream));
             engine.sent.push((w.model.clone(), w.entry));
-            engine.controller.prompt(&w.model, true, TICK, now);
+            engine.controller.record_prompt(&w.model, true, TICK, now);
             match now - w.since <= OBJECTIVE {
-                true => self.got.in_time += 1,
-                false => self.got.late += 1,
+                true => self.results.in_time += 1,
+                false => self.results.late += 1,
             }
             return true;
         }
-        if w.asked.is_none() {
+        if w.pending.is_none() {
             let view = &self.views[w.entry];
             match cold_start::find(view, SERVICE, &decl(), &w.model, &w.refused, now) {
                 Ok(at) => {
@@ -324,14 +329,14 @@
                         victims: at.victims,
                         fetch: (at.from == Copy::Store).then_some(1),
                         prefetch: false,
-                        of_use: PATIENCE - (now - w.since),
+                        of_use: CLIENT_TIMEOUT - (now - w.since),
                     };
-                    let asker = Asker {
+                    let id = LoadRequestId {
                         link: LinkKey(w.entry as u64),
                         seq: self.seq,
                     };
-                    self.engines[n].controller.request_load(asker, req, now);
-                    w.asked = Some((n, self.seq));
+                    self.engines[n].controller.request_load(id, req, now);
+                    w.pending = Some((n, self.seq));
                 }
                 Err(_) => w.refused.clear(),
             }
@@ -339,9 +344,9 @@
         false
     }
 
-    fn take_back(&mut self, w: &Waiting) {
-        if let Some((n, seq)) = w.asked {
-            self.engines[n].controller.cancel(Asker {
+    fn cancel(&mut self, w: &Waiting) {
+        if let Some((n, seq)) = w.pending {
+            self.engines[n].controller.cancel(LoadRequestId {
                 link: LinkKey(w.entry as u64),
                 seq,
             });
@@ -351,13 +356,13 @@
 
 /// Half a minute of two busy models with 25 requests a second each, one of which gives way to another
 /// every eight seconds, and of 25 rare ones with 16 together.
-fn play(seed: u64) -> Got {
+fn simulate(seed: u64) -> ClientResults {
     let mut rng = StdRng::seed_from_u64(seed);
     let mut fleet = Fleet::new();
     let mut now = Duration::from_secs(3);
     for tick in 0..1500u32 {
         now += TICK;
-        if tick % TELL == 0 {
+        if tick % REPORT_TICKS == 0 {
             fleet.report(now);
         }
         let busy = (tick / 400) as usize % 4;
@@ -372,7 +377,7 @@
                     model: name(model),
                     entry: rng.random_range(0..ENTRIES),
                     since: now,
-                    asked: None,
+                    pending: None,
                     refused: Vec::new(),
                     stream: Duration::from_secs_f64(0.4 - 1.1 * length.ln()),
                 });
@@ -380,8 +385,8 @@
         }
         fleet.step(now);
     }
-    fleet.got.orders = fleet.engines.iter().map(|e| e.sequence).sum();
-    fleet.got
+    fleet.results.orders = fleet.engines.iter().map(|e| e.sequence).sum();
+    fleet.results
 }
 
 /// Clients ask for 30 models on eight engines that hold 24 of them at best, and the busy ones change.
@@ -393,16 +398,16 @@
 /// replicas, load requests taken back and put in order, waits for room and models that leave before they go 92.0,
 /// 94.2, 90.4 and 96.6%, with 233 to 293 orders. The aim is nineteen of twenty.
 #[test]
-fn swaps_in_time() {
+fn requests_start_in_time() {
     for seed in 1..=4 {
-        let got = play(seed);
-        let all = got.in_time + got.late + got.never;
-        let in_time = got.in_time as f64 / all as f64;
-        println!("seed {seed}: {in_time:.3} in time, {got:?}");
-        assert!(in_time > 0.95, "seed {seed}: {got:?}");
+        let results = simulate(seed);
+        let all = results.in_time + results.late + results.never;
+        let in_time = results.in_time as f64 / all as f64;
+        println!("seed {seed}: {in_time:.3} in time, {results:?}");
+        assert!(in_time > 0.95, "seed {seed}: {results:?}");
         assert!(
-            (got.never as f64) < 0.01 * all as f64,
-            "seed {seed}: {got:?}"
+            (results.never as f64) < 0.01 * all as f64,
+            "seed {seed}: {results:?}"
         );
     }
 }
--- a/crates/stair-sidecar/tests/random.rs
+++ b/crates/stair-sidecar/tests/random.rs
@@ -23,10 +23,10 @@
 };
 use stair_sidecar::{
     controller::{
-        Asker,
         Controller,
+        LoadRequestId,
         Options,
-        Step, //
+        PlannedOrder, //
     },
     usage::LinkKey,
 };
@@ -48,18 +48,18 @@
     /// The agent reads the engine, which has finished its order or not.
     Read(bool),
     /// The answer to the next order is lost; whether the engine carries it out all the same.
-    Lose(bool),
+    LoseReply(bool),
     Crash,
-    Pass(u64),
+    Advance(u64),
 }
 
 fn event() -> impl Strategy<Value = Event> {
     prop_oneof![
         4 => (0..MODELS.len(), proptest::option::of(0..3usize)).prop_map(|(m, a)| Event::LoadRequest(m, a)),
         5 => any::<bool>().prop_map(Event::Read),
-        1 => any::<bool>().prop_map(Event::Lose),
+        1 => any::<bool>().prop_map(Event::LoseReply),
         1 => Just(Event::Crash),
-        3 => (1..2000u64).prop_map(Event::Pass),
+        3 => (1..2000u64).prop_map(Event::Advance),
     ]
 }
 
@@ -86,31 +86,31 @@
 struct Engine {
     holds: Holds,
     sequence: u64,
-    doing: Option<Step>,
+    in_progress: Option<PlannedOrder>,
 }
 
 impl Engine {
-    fn order(&mut self, step: &Step) -> Reply {
-        if self.doing.is_some() || step.planned_on != self.sequence {
+    fn order(&mut self, planned: &PlannedOrder) -> Reply {
+        if self.in_progress.is_some() || planned.planned_on != self.sequence {
             return Reply::Conflict;
         }
         self.sequence += 1;
-        match &step.adapter {
-            None => self.doing = Some(step.clone()),
-            Some(_) => self.finish(step),
+        match &planned.adapter {
+            None => self.in_progress = Some(planned.clone()),
+            Some(_) => self.finish(planned),
         }
         Reply::Accepted
     }
 
-    fn finish(&mut self, step: &Step) {
-        let held = |h: &Held| h.name == step.model;
-        match (&step.adapter, step.load) {
+    fn finish(&mut self, planned: &PlannedOrder) {
+        let held = |h: &Held| h.name == planned.model;
+        match (&planned.adapter, planned.load) {
             (None, true) => {
                 self.holds.models.push(Held {
-                    name: step.model.clone(),
+                    name: planned.model.clone(),
                     adapters: Vec::new(),
                 });
-                self.holds.on_disk.push(step.model.clone());
+                self.holds.on_disk.push(planned.model.clone());
                 self.holds.on_disk.dedup();
             }
             (None, false) => self.holds.models.retain(|h| !held(h)),
@@ -128,14 +128,14 @@
     }
 
     fn reading(&mut self, done: bool) -> Reading {
-        if done && let Some(step) = self.doing.take() {
-            self.finish(&step);
+        if done && let Some(planned) = self.in_progress.take() {
+            self.finish(&planned);
             self.sequence += 1;
         }
         Reading {
             holds: self.holds.clone(),
             sequence: self.sequence,
-            busy: self.doing.is_some(),
+            busy: self.in_progress.is_some(),
             ..Reading::default()
         }
     }
@@ -143,13 +143,13 @@
     fn crash(&mut self) {
         self.holds.models.clear();
         self.sequence = 0;
-        self.doing = None;
+        self.in_progress = None;
     }
 
     /// Memory and places for adapters in use, what is being loaded among it.
     fn used(&self) -> (f64, usize) {
         let size = |name: &str| MODELS.iter().find(|m| m.0 == name).expect("known").1;
-        let loading = self.doing.iter().filter(|s| s.load);
+        let loading = self.in_progress.iter().filter(|s| s.load);
         let models: f64 = self.holds.models.iter().map(|h| size(&h.name)).sum();
         let adapters = self.holds.models.iter().map(|h| h.adapters.len()).sum();
         let mb = models + loading.map(|s| size(&s.model)).sum::<f64>();
@@ -168,7 +168,7 @@
     /// runs. Whatever is asked for, and whichever answers are lost, it never is; and no two of its
     /// loads from the weight store begin within the window.
     #[test]
-    fn never_beyond_the_engine(events in vec(event(), 1..120)) {
+    fn orders_fit_the_engine(events in vec(event(), 1..120)) {
         let mut controller = Controller::new(Options { fetch_window: WINDOW });
         let mut engine = Engine::default();
         controller.declare(decl());
@@ -178,7 +178,7 @@
         for (seq, event) in events.into_iter().enumerate() {
             match event {
                 Event::LoadRequest(m, a) => {
-                    let asker = Asker { link: LinkKey(1), seq: seq as u64 };
+                    let id = LoadRequestId { link: LinkKey(1), seq: seq as u64 };
                     let req = LoadRequest {
                         seq: seq as u64,
                         model: MODELS[m].0.into(),
@@ -188,32 +188,32 @@
                         prefetch: false,
                         of_use: Duration::from_secs(14),
                     };
-                    controller.request_load(asker, req, now);
+                    controller.request_load(id, req, now);
                 }
                 Event::Read(done) => {
                     controller.read(Some(engine.reading(done)), now);
                 }
-                Event::Lose(done) => lost = Some(done),
+                Event::LoseReply(done) => lost = Some(done),
                 Event::Crash => engine.crash(),
-                Event::Pass(ms) => now += Duration::from_millis(ms),
+                Event::Advance(ms) => now += Duration::from_millis(ms),
             }
-            controller.settle(true, now);
-            let Some(step) = controller.next(&mut Vec::new(), now) else { continue };
-            let fetches = step.load
-                && step.adapter.is_none()
-                && !engine.holds.on_disk.contains(&step.model);
+            controller.resolve(true, now);
+            let Some(planned) = controller.next(&mut Vec::new(), now) else { continue };
+            let fetches = planned.load
+                && planned.adapter.is_none()
+                && !engine.holds.on_disk.contains(&planned.model);
             let reply = match lost.take() {
-                None => Some(engine.order(&step)),
+                None => Some(engine.order(&planned)),
                 Some(true) => {
-                    engine.order(&step);
+                    engine.order(&planned);
                     None
                 }
                 Some(false) => None,
             };
-            controller.replied(&step, reply, now);
+            controller.replied(&planned, reply, now);
             let (mb, adapters) = engine.used();
-            prop_assert!(mb <= WEIGHTS_MB, "{mb} MB after {step:?}");
-            prop_assert!(adapters <= ADAPTER_SLOTS as usize, "{adapters} after {step:?}");
+            prop_assert!(mb <= WEIGHTS_MB, "{mb} MB after {planned:?}");
+            prop_assert!(adapters <= ADAPTER_SLOTS as usize, "{adapters} after {planned:?}");
             if fetches && reply == Some(Reply::Accepted) {
                 let apart = fetched.map(|t| now - t);
                 prop_assert!(apart.is_none_or(|t| t >= WINDOW), "{apart:?} apart");
