--- a/crates/stair-agent/src/control.rs
+++ b/crates/stair-agent/src/control.rs
@@ -16,7 +16,7 @@
     ActorRef, //
 };
 use stair_policy::{
-    keep::Keep,
+    keep_alive::KeepAlive,
     queue::{
         Options,
         Queue, //
@@ -143,7 +143,7 @@
     pub(crate) failures: Vec<Failure>,
     /// Loads under way, with their beginning.
     pub(crate) loading: Vec<(Item, Duration)>,
-    pub(crate) keep_alive: Keep,
+    pub(crate) keep_alive: KeepAlive,
     /// When metrics were last sent.
     pub(crate) metrics_emitted: Duration,
     /// Models whose callers were refused because the load takes too long, with their tier.
@@ -207,7 +207,7 @@
 
 impl Core {
     fn new(me: ActorRef<Msg>, args: Arguments) -> Self {
-        let keep_alive = Keep::new(keep_alive_options(&args.in_force));
+        let keep_alive = KeepAlive::new(keep_alive_options(&args.in_force));
         let queue_opts = queue_options(&args.in_force, &args.limits);
         let unconfirmed = match args.engine {
             Some(_) if args.incarnation > FIRST_INCARNATION => UnconfirmedOrders::of_predecessor(),
--- a/crates/stair-entry/src/control/actor.rs
+++ b/crates/stair-entry/src/control/actor.rs
@@ -316,10 +316,10 @@
         let policy = &self.state.config.catalogue.policy;
         self.args
             .scheduler
-            .set_options(stair_policy::load_order::Options {
+            .set_options(stair_policy::load_slots::Options {
                 loads_per_second: policy.weight_store.loads_per_second,
                 full_speed_loads: policy.weight_store.full_speed_loads,
-                ..stair_policy::load_order::Options::default()
+                ..stair_policy::load_slots::Options::default()
             });
         self.publish();
         self.update_agents();
--- a/crates/stair-entry/src/traffic/targets.rs
+++ b/crates/stair-entry/src/traffic/targets.rs
@@ -12,10 +12,10 @@
 };
 
 use serde::Serialize;
-use stair_policy::shift::{
+use stair_policy::traffic_weights::{
     self,
     Outcome,
-    Shift, //
+    TrafficWeights, //
 };
 use stair_types::{
     FencingToken,
@@ -41,7 +41,7 @@
 /// All targets that this entry has dealt with.
 pub(super) struct Targets {
     list: RwLock<List>,
-    weights: Mutex<Shift>,
+    weights: Mutex<TrafficWeights>,
 }
 
 #[derive(Default)]
@@ -115,7 +115,7 @@
     fn default() -> Self {
         Self {
             list: RwLock::default(),
-            weights: Mutex::new(Shift::new(shift::Options::default())),
+            weights: Mutex::new(TrafficWeights::new(traffic_weights::Options::default())),
         }
     }
 }
@@ -141,7 +141,7 @@
     /// Notes that a target began its answer so long after it was started.
     pub(super) fn record_first_byte(&self, target: &Target, latency: Duration) {
         let mut weights = self.weights();
-        weights.observe(target.key, latency, Outcome::Answered);
+        weights.observe(target.key, latency, Outcome::Completed);
     }
 
     /// Notes that a target could not be reached, its link broke or its engine failed.
@@ -185,7 +185,7 @@
         });
     }
 
-    fn weights(&self) -> MutexGuard<'_, Shift> {
+    fn weights(&self) -> MutexGuard<'_, TrafficWeights> {
         self.weights.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
--- a/crates/stair-entry/tests/control_load_slots.rs
+++ b/crates/stair-entry/tests/control_load_slots.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use stair_entry::control::load_slots::LoadSlotScheduler;
-use stair_policy::load_order::Options;
+use stair_policy::load_slots::Options;
 use stair_types::TierRank;
 use tokio::time::{
     Instant,
