--- a/crates/stair-entry/src/control/report.rs
+++ b/crates/stair-entry/src/control/report.rs
@@ -49,7 +49,7 @@
             "config": self.args.view.borrow().config,
             "confirmed": self.state.confirmed,
             "agents": self.agents.len(),
-            "agents_behind": self.agents.iter().filter(|a| a.is_behind()).count(),
+            "agents_behind": self.agents.iter().filter(|a| a.is_lagging()).count(),
         })
     }
 
@@ -59,7 +59,7 @@
                 "target": a.hello.target,
                 "incarnation": a.hello.incarnation,
                 "config": a.config,
-                "behind": a.is_behind(),
+                "behind": a.is_lagging(),
             })
         });
         json!({
@@ -69,7 +69,7 @@
             "agents": agents.collect::<Vec<_>>(),
             "releases_pending": self.releases.len(),
             "shards_needing_change": self.needed_since.iter().flatten().count(),
-            "loads_waiting_for_a_turn": self.args.desk.waiting(),
+            "loads_waiting_for_a_turn": self.args.scheduler.waiting(),
         })
     }
 }
--- a/crates/stair-entry/src/traffic/dump.rs
+++ b/crates/stair-entry/src/traffic/dump.rs
@@ -20,7 +20,7 @@
     ports_replaced: u64,
     claims_pending: usize,
     retries_left: u64,
-    targets: Vec<targets::Seen>,
+    targets: Vec<targets::TargetDump>,
 }
 
 pub(super) fn dump<S>(cx: &Cx<S>) -> serde_json::Value {
@@ -32,7 +32,7 @@
         links: cx.pool.live(),
         ports_replaced: cx.pool.dialer().replaced(),
         claims_pending: cx.claims.pending(),
-        retries_left: retries.left(),
+        retries_left: retries.available(),
         targets: cx.targets.snapshot(),
     };
     serde_json::to_value(dump).unwrap_or_default()
