--- a/crates/stair-fleet/benches/workspaces.rs
+++ b/crates/stair-fleet/benches/workspaces.rs
@@ -1,4 +1,4 @@
-//! What a request's key and allowance cost, by the number of workspaces.
+//! Cost of looking up a key and of charging a quota, by the number of workspaces.
 //!
 //!     cargo bench -p stair-fleet --bench workspaces
 
@@ -50,7 +50,7 @@
     all.try_into().expect("sound")
 }
 
-/// Time of one round, in nanoseconds.
+/// Average time of one round, in nanoseconds.
 fn each<F>(mut round: F) -> f64
 where
     F: FnMut(u32),
--- a/crates/stair-fleet/tests/balance.rs
+++ b/crates/stair-fleet/tests/balance.rs
@@ -1,4 +1,4 @@
-//! Which model gets a further replica, and whose replicas make way for it.
+//! Tests of the choice of further replicas and of the replicas evicted for them.
 
 mod support;
 
@@ -39,9 +39,9 @@
     Some((found.model, found.place))
 }
 
-/// An engine has crashed and come back empty, with copies on its disk. The busiest model of all has
-/// no copy there. Looking at that one alone would leave the engine idle while the next busiest
-/// crowds its own.
+/// An engine has crashed and restarted empty, with copies on its disk. The busiest model has no
+/// copy there. If only that model were considered, the engine would stay idle while the next
+/// busiest model overloads its replica.
 #[test]
 fn idle_engine_takes_what_it_can() {
     let (view, keys) = fleet(vec![
@@ -56,7 +56,7 @@
     );
 }
 
-/// A load from the weight store is made when no copy helps, at the engine with the least to do.
+/// A load from the weight store is made only if no copy helps, at the engine with the least load.
 #[test]
 fn from_the_store_last() {
     let (view, keys) = fleet(vec![
@@ -72,8 +72,8 @@
     assert_eq!(find(&view, false), None);
 }
 
-/// The copy that a load from the weight store would push out may be the last one of its model, whose
-/// next request would wait for the weight store then.
+/// The copy that a load from the weight store evicts may be the last one of its model, whose next
+/// request would then wait for the weight store.
 #[test]
 fn last_copies_stay() {
     let (view, _) = fleet(vec![
@@ -83,8 +83,8 @@
     assert_eq!(next(&view), None);
 }
 
-/// Demand that is spread well needs no load, and models that are hardly asked for get no second
-/// replica, however much room there is.
+/// Evenly spread demand needs no load, and models with hardly any demand get no second replica even
+/// if memory is free.
 #[test]
 fn nothing_to_gain() {
     let (view, _) = fleet(vec![
@@ -94,9 +94,9 @@
     assert_eq!(next(&view), None);
 }
 
-/// Two busy models share two engines and each could take a place of the other. Each move that
-/// crowds the other one would be undone by the next look, and both models' prompts would be read
-/// anew each time; the fleet comes to rest instead.
+/// Two busy models share two engines, and each could evict a replica of the other. If the next
+/// search undid a move, both models' prompts would lose their prefix caches each time. The moves
+/// must end.
 #[test]
 fn converges() {
     let disk = ["a", "b", "c", "d"];
@@ -147,7 +147,7 @@
     fleet(reports)
 }
 
-/// An engine that is loading is left alone, and what it loads counts as a replica already.
+/// An engine that is loading gets no order, and the model it loads counts as a replica already.
 #[test]
 fn loads_count() {
     let (mut view, keys) = fleet(vec![
@@ -167,8 +167,8 @@
     assert_eq!(keys.len(), 2);
 }
 
-/// Short prompts: 20 requests a second take a tenth of one engine's time. A further replica would gain
-/// them next to nothing, and the rare model that made way for it would be missed.
+/// With short prompts 20 requests per second take a tenth of an engine's time. A further replica
+/// would hardly help them, and the evicted rare model would have to be loaded again.
 #[test]
 fn light_load_needs_no_replica() {
     let mut busy = used(report(&["a"], &["a"]), "a", 20.0, 20);
--- a/crates/stair-fleet/tests/budget.rs
+++ b/crates/stair-fleet/tests/budget.rs
@@ -1,4 +1,4 @@
-//! One entry's share of the retries.
+//! Tests of an entry's share of the retry budget.
 
 use std::time::Duration;
 
@@ -20,7 +20,7 @@
 }
 
 /// Every target fails and every request is retried as often as allowed. Without a bound the fleet
-/// would get several times its load; a user would see nothing but timeouts until traffic ends.
+/// would get several times its load, and all requests would time out.
 #[test]
 fn all_entries_together() {
     let mut sent = 0;
@@ -40,7 +40,7 @@
     assert!(f64::from(sent) > 0.5 * bound, "most of it can be used");
 }
 
-/// One entry gets no requests for a while and then one that fails: it may still be retried.
+/// An entry without recent requests gets one that fails: it may still be retried.
 #[test]
 fn some_without_requests() {
     let mut budget = Budget::new(OPTS);
@@ -63,9 +63,8 @@
     assert_eq!(first, second);
 }
 
-/// A fleet has grown from five entries to thirty, and the settings still say ten. If each kept to a
-/// tenth of the shared part, all together would make three times the retries that targets are to get
-/// when most of them fail.
+/// A fleet has grown from five entries to thirty while the settings state ten. If each used a tenth
+/// of `extra`, all together would make three times the allowed retries.
 #[test]
 fn more_entries_than_configured() {
     let mut sent = 0;
@@ -81,7 +80,7 @@
     assert!(f64::from(sent) <= OPTS.extra, "{sent}");
 }
 
-/// An agent is cut off from most entries and tells the rest that they are few.
+/// An agent is disconnected from most entries and reports a small number to the others.
 #[test]
 fn few_entries_at_one_agent() {
     assert_eq!(entries(10, [30, 3]), 60);
--- a/crates/stair-fleet/tests/choose.rs
+++ b/crates/stair-fleet/tests/choose.rs
@@ -1,4 +1,4 @@
-//! The target for a request among those that can run it now.
+//! Tests of the choice of a target that can run a request now.
 
 mod support;
 
@@ -33,8 +33,8 @@
     assert_eq!(choose(&view, &options("c"), NOW), None);
 }
 
-/// One replica reads a long queue of prompts while the other is idle. A request sent to the first
-/// would wait for all of them; its client would see the first token seconds late.
+/// One replica has a long prefill backlog while the other is idle. A request sent to the first one
+/// would get its first token seconds late.
 #[test]
 fn around_a_queue() {
     let mut busy = report(&["a"], &[]);
@@ -43,8 +43,8 @@
     assert_eq!(choose(&view, &options("a"), NOW).expect("one").key, keys[1]);
 }
 
-/// Requests with the same head of a prompt meet at one replica, from any entry, so that it is read
-/// once; but not when that replica's queue costs more than reading it anew.
+/// Requests with a common prefix must meet at one replica from any entry, so that the prefix is
+/// read once; unless that replica's queue costs more than reading the prefix again.
 #[test]
 fn same_prefix_same_replica() {
     let reports = vec![
@@ -65,8 +65,7 @@
     assert_ne!(choose(&view, &opts, NOW).expect("one").key, preferred);
 }
 
-/// A target leaves: its announcement says so before it is gone. A request sent to it after that
-/// would be lost with it.
+/// A target announces that it drains before it ends. A request sent to it after that would be lost.
 #[test]
 fn not_to_a_draining_target() {
     let (mut view, keys) = fleet(vec![report(&["a"], &[])]);
@@ -77,7 +76,7 @@
     assert_eq!(choose(&view, &options("a"), NOW), None);
 }
 
-/// An agent reports that its engine no longer answers, seconds before the list drops it.
+/// An agent reports that its engine does not reply, seconds before the list drops the engine.
 #[test]
 fn not_to_a_dead_engine() {
     let mut dead = report(&["a"], &[]);
@@ -86,8 +85,8 @@
     assert_eq!(choose(&view, &options("a"), NOW).expect("one").key, keys[1]);
 }
 
-/// An agent dies and its engine lives. The engine's own announcement still says what it holds, so
-/// it is used: without that a dead agent would cost a sound engine.
+/// An agent fails while its engine runs. The engine's own announcement still has the inventory, so
+/// the engine must be used: otherwise a failed agent would disable a healthy engine.
 #[test]
 fn without_an_agent() {
     let (mut view, keys) = fleet(vec![report(&["a"], &[])]);
@@ -101,8 +100,8 @@
     );
 }
 
-/// A connection to the only target failed a moment ago. It is left out while another can take the
-/// request, and tried again when there is no other.
+/// A connection to the only target has just failed. The target is left out for requests that have
+/// another one, and tried again when there is no other.
 #[test]
 fn suspects_last() {
     let (mut view, keys) = fleet(vec![report(&["a"], &[])]);
@@ -116,8 +115,8 @@
     assert!(choose(&view, &options("a"), NOW + SUSPECT_DURATION).is_some());
 }
 
-/// One of three plain targets fails half of its requests while it says that it is well. Its share
-/// shrinks; it is not cut off, so that it is seen recovering.
+/// One of three plain targets fails half of its requests while it announces itself as ready. Its
+/// share must shrink, but not to zero, so that its recovery shows.
 #[test]
 fn half_failing() {
     let mut view = stair_fleet::View::default();
@@ -137,8 +136,9 @@
     assert!(view.get(first).failing < 0.01);
 }
 
-/// An engine takes no order for an adapter while a model is loaded there, for seconds. Requests for
-/// an adapter that it lacks go elsewhere meanwhile; others still go there.
+/// An engine takes no orders for adapters while it loads a model, for seconds. Meanwhile requests
+/// for an adapter that it has not loaded must go to another engine; other requests may still go
+/// there.
 #[test]
 fn adapter_during_a_load() {
     let mut loading = report(&["a"], &[]);
@@ -165,8 +165,8 @@
     assert_eq!(choose(&view, &opts, NOW).expect("one").key, keys[0]);
 }
 
-/// Several entries see three equal targets and know nothing of each other's requests. If each took
-/// the first, one target would be full while two are idle.
+/// Several entries see three equal targets and not each other's requests. If each chose the first
+/// one, it would be full while two are idle.
 #[test]
 fn equal_targets_share() {
     let mut view = stair_fleet::View::default();
--- a/crates/stair-fleet/tests/cold_start.rs
+++ b/crates/stair-fleet/tests/cold_start.rs
@@ -1,4 +1,4 @@
-//! Where a model is loaded, and what makes way for it.
+//! Tests of the placement of models and of the choice of victims.
 
 mod support;
 
@@ -42,8 +42,8 @@
     assert!(at.victims.is_empty());
 }
 
-/// A rare model has to make a busy one or an idle one go. If the busy one went, its requests would
-/// all wait for a swap.
+/// A load of a rare model has to evict a busy model or an idle one. If it evicted the busy one, all
+/// of that model's requests would wait for a swap.
 #[test]
 fn idle_models_are_evicted() {
     let full = used(used(report(&["b", "c"], &["a"]), "b", 6.0, 4), "c", 0.1, 0);
@@ -52,9 +52,9 @@
     assert_eq!(at.victims, vec!["c".into()]);
 }
 
-/// What has to make way at one engine has eight streams in flight, at the other a single one, of a
-/// model that is missed a little more. The first engine takes the order when the last of the eight has
-/// ended; a request that was sent there for a load of 0.8 s waited four.
+/// The victims at one engine have eight streams in flight; the victim at the other has one and a
+/// slightly higher eviction cost. The first engine takes the order only when the last of the eight
+/// has ended: a request sent there for a load of 0.8 s waited 4 s.
 #[test]
 fn waits_for_the_longest_stream() {
     let busy = used(used(report(&["b", "c"], &["a"]), "b", 0.1, 8), "c", 0.1, 8);
@@ -65,7 +65,7 @@
     assert!(at.ready_in >= ms(800 + 700), "{:?}", at.ready_in);
 }
 
-/// A spare replica goes before the last one of a model.
+/// A redundant replica is evicted before the last replica of a model.
 #[test]
 fn redundant_replicas_are_evicted() {
     let (view, keys) = fleet(vec![
@@ -77,9 +77,9 @@
     assert_eq!(at.victims, vec!["b".into()]);
 }
 
-/// Two entries need room at the same moment, each at one of the two engines that hold a busy model. If
-/// each took its replica for the one that can be spared, none would be left, and all its requests
-/// would be refused until it is back (seen: 20 requests a second for four seconds).
+/// Two entries need memory at the same moment, each at one of the two engines with a busy model. If
+/// each counted the replica there as redundant, none would remain and all requests of the model
+/// would be refused until it is loaded again (seen: 20 requests per second for 4 s).
 #[test]
 fn one_replica_is_redundant() {
     let full = |rare| {
@@ -100,7 +100,7 @@
     assert_eq!(busy, 1, "{evicted:?}");
 }
 
-/// A model is on its way to an engine. A second request for it joins that load.
+/// A second request for a model that an engine is loading joins that load.
 #[test]
 fn joins_a_load() {
     let mut loading = report(&["b"], &["a"]);
@@ -115,8 +115,8 @@
     assert_eq!((at.key, at.ready_in), (keys[1], ms(300)));
 }
 
-/// As many loads from the weight store run as make sense. A further one would slow all of them
-/// down; the request is told that the store is busy, not that there is no place.
+/// The limit of loads from the weight store is reached, and a further one would slow all of them
+/// down. The error must be that the store is busy, not that there is no capacity.
 #[test]
 fn store_is_busy() {
     let mut reports: Vec<_> = ["b", "c", "d", "e"]
@@ -133,7 +133,7 @@
     assert_eq!(found, Err(Error::NoCapacity));
 }
 
-/// All agents are silent: nobody may order the engines.
+/// All agents are silent, so no engine takes orders.
 #[test]
 fn no_agent_no_load() {
     let (view, _) = fleet(vec![report(&[], &["a"])]);
@@ -141,8 +141,8 @@
     assert_eq!(choose(&view, SERVICE, &engine(), "a", &[], later), None);
 }
 
-/// Before traffic the engines' memory is half empty. Models that lie on a disk are brought in where
-/// there is room, one an engine at a time, and nothing makes way for them.
+/// Before traffic the engines' memory is half empty. Models with a copy on disk are loaded where
+/// memory is free, one per engine at a time, without evictions.
 #[test]
 fn fills_free_memory() {
     let (view, keys) = fleet(vec![
@@ -152,7 +152,7 @@
     let prefetch::Outcome {
         model, place: at, ..
     } = prefetch::next(&view, SERVICE, &engine(), &[], NOW).expect("a load");
-    // "f" has no copy anywhere and comes first, from the weight store.
+    // "f" has no copy at any engine and comes first, from the weight store.
     assert_eq!((&*model, at.from), ("f", CopyLocation::Store));
     let known = fleet(vec![
         report(&["b"], &["a", "b", "f"]),
@@ -172,8 +172,9 @@
     assert_eq!(keys.len(), 2);
 }
 
-/// Demand moves to a model with one replica, five requests a second. Each would stall the others'
-/// tokens; a further replica is made from a copy on disk, in the place of a model hardly asked for.
+/// Demand moves to a model with one replica, five requests per second, whose prompts stall each
+/// other's streams. A further replica must be loaded from a copy on disk and evict a model with
+/// hardly any demand.
 #[test]
 fn follows_demand() {
     let hot = used(report(&["a", "b"], &["a", "b"]), "a", 5.0, 6);
@@ -189,9 +190,9 @@
     );
 }
 
-/// A fleet comes back empty and the first replica of a busy model gets all of its requests. Before,
-/// all queued there until their deadlines; now those that would wait long have a further replica
-/// loaded, and what cannot be served in time is told so at once.
+/// A fleet restarts empty, and the first replica of a busy model gets all of its requests. All of
+/// them would queue there until their deadlines. Requests with a long wait must have a further
+/// replica loaded, and requests that can't be served in time must be refused at once.
 #[test]
 fn slow_target_loads_another_replica() {
     let mut busy = report(&["a"], &["a"]);
@@ -212,9 +213,9 @@
     assert_eq!(decision, Decision::Send);
 }
 
-/// An engine unloads a busy model, which it does once that model's streams have ended, and takes no
-/// order before. A request for that model finds its copy in that engine's memory, a fraction of a
-/// second away by the copy alone; waiting there took as long as the streams, until the client left.
+/// An engine unloads a busy model after the model's streams have ended, and takes no orders until
+/// then. A request for the model finds a copy in that engine's memory, which is the fastest by load
+/// time alone; waiting there took as long as the streams, until the client disconnected.
 #[test]
 fn not_behind_an_unload() {
     let mut unloading = report(&["a"], &["a"]);
@@ -226,9 +227,9 @@
     assert_eq!((at.key, at.from), (keys[1], CopyLocation::Disk));
 }
 
-/// Engines are lost with the only copies of two rare models while another model crowds its replica.
-/// The weight store makes few loads at once; were the rare models fetched first, the busy one would
-/// wait for them, several seconds in which each of its requests is late.
+/// Engines fail with the only copies of two rare models, while a third model overloads its replica.
+/// The weight store serves few loads at a time: if the rare models were loaded first, the busy one
+/// would wait for several seconds, and all of its requests would be late.
 #[test]
 fn overloaded_before_missing() {
     let all = ["a", "b", "c", "d"];
@@ -252,9 +253,9 @@
     );
 }
 
-/// A load that was asked for shows in a report only once its engine has made room. Until then the
-/// same model was asked for again at another engine, and two of four loads went to a model that
-/// hardly anyone asked for.
+/// A requested load appears in a report only after its engine has freed memory. Until then the same
+/// model was requested again at another engine, and two of four loads went to a model with hardly
+/// any demand.
 #[test]
 fn requested_once() {
     let (view, _) = fleet(vec![
@@ -271,9 +272,9 @@
     assert_eq!(again, None);
 }
 
-/// An engine replaces another and comes without copies. It takes a model of which there is a single
-/// copy, so that its loss, or demand that moves to it, does not wait for the weight store; once each
-/// model has two copies it is left in peace.
+/// An engine replaces another and starts without copies. It must load a model with a single copy,
+/// so that a failure of the other engine, or demand for the model, does not wait for the weight
+/// store. Once each model has two copies it must get no further loads.
 #[test]
 fn new_engine_takes_single_copies() {
     let all = ["a", "b", "c", "d", "e", "f"];
@@ -284,7 +285,7 @@
         report(&["e", "f"], &[]),
         report(&[], &[]),
     ]);
-    // "f" is in the memory of the third and on the disk of the first.
+    // "f" is loaded at the third engine and on the disk of the first.
     assert_eq!(prefetch::next(&view, SERVICE, &engine(), &[], NOW), None);
     let (view, _) = fleet(vec![
         report(&["a", "b"], &most),
@@ -301,9 +302,10 @@
     );
 }
 
-/// All VMs come back after a power cut. One engine's agent has been heard, the other, whose disk has
-/// the model, not yet. Fetching it from the weight store at once takes six seconds and keeps the store
-/// busy; half a second later the copy is known. An agent that stays silent does not hold it up.
+/// All VMs restart after a power cut. One engine's agent has reported; the agent of the engine
+/// whose disk has the model has not. A load from the weight store at once would take six seconds
+/// and keep the store busy, while the copy is known half a second later. An agent that stays silent
+/// must not delay the load for longer.
 #[test]
 fn copies_not_reported_yet() {
     let (mut view, keys) = fleet(vec![report(&[], &[]), report(&[], &["a"])]);
--- a/crates/stair-fleet/tests/events.rs
+++ b/crates/stair-fleet/tests/events.rs
@@ -1,4 +1,4 @@
-//! Whole events out of a stream's bytes.
+//! Tests of splitting a stream into events.
 
 use stair_fleet::events::{
     MAX_EVENT_BYTES,
@@ -34,8 +34,8 @@
     assert_eq!(all(&bytes).0, whole);
 }
 
-/// An engine crashes in the middle of an event. If the half were passed on, the client would read
-/// it joined with the next event after a resume, as garbage.
+/// An engine crashes in the middle of an event. If the first half were passed on, the client would
+/// read it joined with the next event after a resume.
 #[test]
 fn incomplete_event() {
     let (events, inside) = all(&["id: 1\ndata: a\n\nid: 2\nda"]);
@@ -43,7 +43,7 @@
     assert!(inside, "the rest is known to be incomplete");
 }
 
-/// A target sends one endless event. Without a limit it would fill the entry's memory.
+/// A target sends an event that never ends. Without a limit it would exhaust the entry's memory.
 #[test]
 fn endless_event() {
     let mut split = Splitter::default();
--- a/crates/stair-fleet/tests/fetch.rs
+++ b/crates/stair-fleet/tests/fetch.rs
@@ -1,4 +1,4 @@
-//! How many loads from the weight store run at once.
+//! Tests of the limit of concurrent loads from the weight store.
 
 mod support;
 
@@ -23,12 +23,12 @@
     report, //
 };
 
-/// Loads that come as fast as an engine's link takes them: 60 GB in six seconds.
+/// Loads as fast as an engine's link: 60 GB in 6 s.
 fn fast_store() -> Engine {
     engine()
 }
 
-/// Loads that the weight store bounds: 60 GB in thirteen seconds.
+/// Loads bounded by the weight store: 60 GB in 13 s.
 fn slow_store() -> Engine {
     let mut engine = engine();
     for model in &mut engine.models {
@@ -45,8 +45,8 @@
 fn fetched(concurrent: u32, slowdown: f32) -> Report {
     let mut report = report(&["a"], &["a"]);
     report.load.fetched = Some(Fetched {
-        concurrent: concurrent,
-        slowdown: slowdown,
+        concurrent,
+        slowdown,
     });
     report
 }
@@ -57,9 +57,10 @@
     assert_eq!(limit(&slow_store(), vec![]), 1);
 }
 
-/// The weight store serves one load at full speed, and four run. All of them end when the last of
-/// four in a row would, so the model that is needed most comes four times as late. The loads under
-/// way are late by then and show it, long before the first of them ends.
+/// The weight store serves one load at full speed, and four are in progress. All of them end when
+/// the last of four consecutive loads would, so the most urgent model is loaded after four times
+/// the time. The loads in progress are already delayed by then and must lower the limit before the
+/// first one ends.
 #[test]
 fn delayed_loads_lower_the_limit() {
     let delayed = |slowdown| {
@@ -72,14 +73,14 @@
     assert_eq!(limit(&fast_store(), delayed(4.0)), 1);
 }
 
-/// What ended tells the same, also to an entry that has just started and saw none of it.
+/// Completed loads give the same limit to an entry that has just started and did not observe them.
 #[test]
 fn ended_loads_lower_the_limit() {
     assert_eq!(limit(&fast_store(), vec![fetched(2, 2.0)]), 1);
     assert_eq!(limit(&fast_store(), vec![fetched(5, 1.25)]), 4);
 }
 
-/// Loads that kept their time beside others let more begin, a few at a time.
+/// Concurrent loads that took their declared time raise the limit step by step.
 #[test]
 fn grows_with_loads_on_time() {
     assert_eq!(limit(&slow_store(), vec![fetched(1, 1.0)]), 2);
@@ -87,22 +88,23 @@
     assert_eq!(limit(&slow_store(), vec![fetched(4, 1.03)]), 5);
 }
 
-/// An engine took long over a load beside which nothing ran: its own trouble, and no reason to have
-/// the others wait for each other.
+/// An engine took long for a load without concurrent ones. The cause is the engine's own and must
+/// not lower the limit.
 #[test]
 fn slow_load_alone_is_ignored() {
     assert_eq!(limit(&fast_store(), vec![fetched(1, 3.0)]), 4);
 }
 
-/// Two loads run at full speed and three more begin, so that all five are late. What the first two
-/// tell would leave two of four places at the weight store unused for minutes.
+/// Two loads run at full speed when three more begin, so that all five are delayed. If the report
+/// of the first two decided, two of four load slots at the weight store would stay unused for
+/// minutes.
 #[test]
 fn others_joined_later() {
     let reported = vec![fetched(2, 1.2), fetched(4, 1.0), fetched(5, 1.25)];
     assert_eq!(limit(&fast_store(), reported), 4);
 }
 
-/// One of the loads that are of use is left for a request that waits for it.
+/// One load below the limit is reserved for a request that waits for it.
 #[test]
 fn one_load_is_reserved() {
     let prefetch_limit =
@@ -111,24 +113,25 @@
     assert_eq!(prefetch_limit(&slow_store()), 1);
 }
 
-/// A store that serves `full_speed_loads` loads: each load under way advances by its share.
+/// A weight store that serves `full_speed_loads` loads at full speed; more loads share its
+/// throughput.
 struct Store {
     full_speed_loads: f64,
     declared: Duration,
-    /// Loads to come, the most urgent first.
+    /// Loads that have not begun, the most urgent first.
     queue: Vec<u32>,
     running: Vec<Running>,
     ended: Vec<Done>,
     reported: Vec<Report>,
 }
 
-/// A load under way.
+/// A load in progress.
 struct Running {
     number: u32,
     since: Duration,
-    /// How many ran when it began, itself among them.
+    /// Loads in progress when it began, itself included.
     concurrent: u32,
-    /// Part of it that is left.
+    /// The fraction that remains.
     remaining: f64,
 }
 
@@ -174,7 +177,7 @@
     }
 }
 
-/// Plays eight loads that are all wanted from the start, and returns when each ended, in seconds.
+/// Simulates eight loads that are requested together, and returns when each ended, in seconds.
 fn simulate(engine: &Engine, full_speed_loads: f64) -> Vec<u64> {
     let mut store = Store {
         full_speed_loads,
@@ -192,8 +195,9 @@
     store.ended.iter().map(|e| e.at.as_secs()).collect()
 }
 
-/// Demand has moved and eight models are to come, the most urgent first. Where the store serves one
-/// at full speed they come in a row; four at once had the first come after 53 s instead of 13.
+/// Demand has moved and eight models have to be loaded, the most urgent first. If the store serves
+/// one load at full speed they must come one after the other; with four at a time the first one
+/// came after 53 s instead of 13 s.
 #[test]
 fn urgent_first_at_a_slow_store() {
     let ends = simulate(&slow_store(), 1.0);
@@ -203,7 +207,7 @@
     assert!(in_time >= 3, "{ends:?}");
 }
 
-/// Where it serves four at full speed, four run from the start.
+/// If the store serves four loads at full speed, four run from the start.
 #[test]
 fn four_where_four_run() {
     let ends = simulate(&fast_store(), 4.0);
--- a/crates/stair-fleet/tests/lag.rs
+++ b/crates/stair-fleet/tests/lag.rs
@@ -1,4 +1,4 @@
-//! Which entries lag behind what the others know.
+//! Tests of the detection of entries that lag.
 
 use std::time::Duration;
 
@@ -24,16 +24,17 @@
     Duration::from_millis(ms)
 }
 
-/// A hundred entries follow a list that changes sixty times a second, each 600 ms behind it, and say so once
-/// a second. At nearly any moment the last word of each is older than that of some other. Were that a lag,
-/// each would fetch the whole list from a peer several times a second although its own watch brings it.
+/// A hundred entries follow a list that changes sixty times a second, each up to 600 ms late, and
+/// report once a second. At nearly any moment the last report of each entry is older than that of
+/// some other. If that counted as lag, each entry would fetch the whole list from a peer several
+/// times a second although its own watch delivers it.
 #[test]
 fn old_reports_are_no_lag() {
     let mut lag = Lag::default();
     for at in 0..10_000_u64 {
         if at % 10 == 0 {
             let n = at / 10 % 100;
-            // Watches bring news at their own moments, at most 600 ms old.
+            // Watches deliver changes at different moments, at most 600 ms late.
             let age = n * 37 % 600;
             let report = state(&format!("e{n}"), "a", at.saturating_sub(age) * 60 / 1000);
             assert!(!lag.observe(&report, ms(at)), "e{n} at {at} ms");
@@ -41,8 +42,8 @@
     }
 }
 
-/// The store turns one entry away while it serves the others. It would send requests to targets that have
-/// said that they leave, and is told who is ahead within two seconds.
+/// The store rejects one entry and serves the others. That entry would send requests to targets
+/// that drain; it must be found within 2.5 seconds.
 #[test]
 fn entry_rejected_by_the_store() {
     let mut lag = Lag::default();
@@ -58,7 +59,7 @@
     assert!((1900..=2500).contains(&noticed), "{noticed} ms");
 }
 
-/// Every entry of a data centre is told the same one to follow, in each data centre another.
+/// All entries of a data centre must get the same watcher, and each data centre its own.
 #[test]
 fn one_watcher() {
     let all = vec![
--- a/crates/stair-fleet/tests/outlier.rs
+++ b/crates/stair-fleet/tests/outlier.rs
@@ -1,4 +1,4 @@
-//! Which targets a failure is put down to.
+//! Tests of the attribution of failures to targets.
 
 mod support;
 
@@ -29,7 +29,7 @@
     (view, keys)
 }
 
-/// Chooses for one request, as the entry does.
+/// Chooses a target for one request as the entry does.
 fn pick(view: &View, tried: &[TargetKey], salt: u64) -> TargetKey {
     let opts = choose::Options {
         service: PLAIN,
@@ -41,9 +41,9 @@
     choose(view, &opts, NOW).expect("a target").key
 }
 
-/// Seven requests in a hundred fail wherever they run, at two targets each. Were that put down to the
-/// targets, the third would get what all others send until it is as bad as they seem, and clients
-/// would wait there beside idle ones.
+/// Seven in a hundred requests fail on every target, at two targets each. If that counted against
+/// the targets, the third target would get most requests until its average is as bad, and clients
+/// would wait there beside idle targets.
 #[test]
 fn requests_that_always_fail() {
     let (mut view, keys) = plain_targets();
@@ -67,7 +67,7 @@
     assert!(got.iter().all(|n| (250..420).contains(n)), "{got:?}");
 }
 
-/// A target fails a request that another then serves: the target is to blame, and gets less.
+/// A target fails a request that another one then serves: the failure counts against the target.
 #[test]
 fn served_elsewhere() {
     let (_, keys) = plain_targets();
@@ -89,7 +89,7 @@
     );
 }
 
-/// A request that may not run again fails: nothing speaks for the target.
+/// A request that may not run again fails: nothing contradicts that the target is at fault.
 #[test]
 fn failed_alone() {
     let (_, keys) = plain_targets();
--- a/crates/stair-fleet/tests/prefetch.rs
+++ b/crates/stair-fleet/tests/prefetch.rs
@@ -1,4 +1,4 @@
-//! Loads that are made before a request waits for them.
+//! Tests of loads that are made before a request waits for them.
 
 mod support;
 
@@ -29,8 +29,8 @@
     report
 }
 
-/// Several models have no copy left. Guards against a weight store that is busy with one that nobody asks for,
-/// while clients of another come back to the same rejection.
+/// Several models have no copy left. The weight store must not load one without demand first, while
+/// clients of another are refused again and again.
 #[test]
 fn most_refused_first() {
     let (view, _) = fleet(vec![
@@ -55,7 +55,7 @@
     assert!(next.is_none_or(|n| n.place.from != CopyLocation::Store));
 }
 
-/// Guards against a load of ten seconds for a model whose engine is back in two.
+/// A load from the weight store takes longer than the return of an engine that has the model.
 #[test]
 fn not_while_it_may_return() {
     let models = ["a", "b", "c", "d", "e", "f"];
--- a/crates/stair-fleet/tests/prefill.rs
+++ b/crates/stair-fleet/tests/prefill.rs
@@ -1,4 +1,4 @@
-//! When prompts may be sent to an engine.
+//! Tests of the prefill slots of an engine.
 
 use std::time::Duration;
 
@@ -16,7 +16,7 @@
     Duration::from_millis(ms)
 }
 
-/// A prompt of a shared head and a part of its own.
+/// A prompt of a shared prefix and a block of its own.
 fn prompt(prefix: u64, own: u64) -> Request {
     Request {
         model: "a".into(),
@@ -42,9 +42,9 @@
     prefills.reserve(&prompt(prefix, own), MEMORY, now)
 }
 
-/// Ten prompts with different heads come at once to an engine where streams run. Sent at once they
-/// would be read for 2.4 s on end and every stream would pause for as long. Within any 600 ms no more
-/// is let through than the engine reads in that time and the streams can bear.
+/// Ten prompts with different prefixes arrive together at an engine with running streams. Sent at
+/// once they would take 2.4 s of prefill, and every stream would pause for that time. Within any
+/// 600 ms no more tokens may be sent than the engine reads in that time beside its streams.
 #[test]
 fn burst_of_prompts() {
     let mut prefills = Schedule::default();
@@ -63,7 +63,7 @@
     assert!(last > ms(2400) && last < ms(3500), "{last:?}");
 }
 
-/// Prompts a second or so apart go at once.
+/// Prompts about a second apart are sent at once.
 #[test]
 fn no_wait_without_load() {
     let mut prefills = Schedule::default();
@@ -73,7 +73,7 @@
     }
 }
 
-/// Prompts with a head that the engine has read need a third of the time; more of them go.
+/// Prompts whose prefix is cached need a third of the prefill time, so more of them are sent.
 #[test]
 fn cached_prefixes_are_cheap() {
     let mut prefills = Schedule::default();
@@ -84,14 +84,14 @@
     assert_eq!(again.cached, 9200);
     let other = reserve(&mut prefills, 2, 102, ms(3000));
     assert_eq!(other.cached, 0);
-    // A part is of no use without those before it.
+    // A cached block does not count without the blocks before it.
     let mut broken = prompt(3, 101);
     broken.tokens = 9200;
     assert_eq!(prefills.reserve(&broken, MEMORY, ms(4000)).cached, 0);
 }
 
-/// The engine unloads a model or restarts: what it had read is gone. Prompts that were taken for kept
-/// would be let through three times as fast as they can be read.
+/// The engine unloads a model or restarts, and its prefix cache is lost. If prompts still counted
+/// as cached, they would be sent three times as fast as the engine can read them.
 #[test]
 fn cached_until_unloaded() {
     let mut prefills = Schedule::default();
@@ -104,7 +104,7 @@
     assert_eq!(reserve(&mut prefills, 1, 101, ms(3000)).cached, 0);
 }
 
-/// Memory is bounded: the heads used least lately are taken for gone.
+/// The prefix cache is bounded: the least recently used blocks count as evicted.
 #[test]
 fn least_recently_used_blocks_are_dropped() {
     let mut prefills = Schedule::default();
@@ -115,8 +115,8 @@
     assert_eq!(reserve(&mut prefills, 0, 2, ms(102_000)).cached, 0);
 }
 
-/// A prompt whose turn would come too late is told so at once, takes nobody's slot, and can go
-/// elsewhere while there is time.
+/// A prompt whose slot would come too late must be refused at once without a reservation, so that
+/// it can go to another engine while there is time.
 #[test]
 fn late_slot_is_not_reserved() {
     let mut prefills = Schedule::default();
@@ -133,9 +133,9 @@
     assert!(prefills.reserve(&late, MEMORY, ms(0)).reserved);
 }
 
-/// A long prompt of a less urgent route is read, and four more of them ask for their slots. An urgent one comes
-/// that can wait for 600 ms. Had one of the others booked the next slot, which is within what it may book for,
-/// the urgent one would be refused and the other one served.
+/// An engine reads a long prompt of a less urgent route, and four more of that route request slots.
+/// An urgent prompt that can wait for 600 ms arrives. If one of the others had reserved the next
+/// slot, which is within its own limit, the urgent one would be refused in its favour.
 #[test]
 fn less_urgent_leaves_capacity() {
     let mut prefills = Schedule::default();
@@ -155,12 +155,11 @@
         ..prompt(9, 109)
     };
     assert!(prefills.reserve(&urgent, MEMORY, ms(1010)).reserved);
-    // With nothing before it, one goes however long it is.
+    // Without a backlog a prompt is sent regardless of its length.
     assert!(prefills.reserve(&less_urgent(5), MEMORY, ms(3000)).reserved);
 }
 
-/// A prompt longer than what may be read on end goes once nothing is before it; it must not wait for
-/// ever.
+/// A prompt longer than a burst must be sent once the engine has no backlog, and not wait forever.
 #[test]
 fn longer_than_a_burst() {
     let mut prefills = Schedule::default();
@@ -172,9 +171,9 @@
     assert!(next.reserved && next.wait < ms(1300), "{next:?}");
 }
 
-/// Twelve prompts a second of a model with two replicas' worth of demand come to one engine for ten
-/// seconds, each of use for 400 ms. Those that are let through are all read on time; before, all
-/// were let through, the queue grew to seconds, and none of the later ones was.
+/// Twelve prompts per second, the demand of two replicas, arrive at one engine for ten seconds, and
+/// each can wait for 400 ms. If all were admitted, the queue would grow to seconds and all later
+/// ones would be late. All admitted prompts must be on time.
 #[test]
 fn overload_keeps_some_on_time() {
     let mut prefills = Schedule::default();
@@ -189,11 +188,11 @@
             assert!(reply.backlog < ms(1000), "{reply:?}");
         }
     }
-    // 26 tokens a millisecond are read, 3,050 a prompt once the heads are kept.
+    // The engine reads 26 tokens per millisecond; with cached prefixes a prompt takes 3,050 tokens.
     assert!((78..=92).contains(&reserved), "{reserved}");
 }
 
-/// An engine that reads prompts between the tokens of one stream, in the order in which they come.
+/// An engine that reads prompts in order of arrival, between the tokens of one stream.
 struct Engine {
     tokens_per_ms: f64,
     now: f64,
@@ -203,14 +202,14 @@
 /// A prompt that was sent.
 struct Sent {
     at_ms: f64,
-    /// Tokens that are left to be read.
+    /// Tokens that are not read yet.
     left: f64,
-    /// What the agent said that reading takes.
+    /// The prefill time that the agent stated.
     prefill_time: Duration,
 }
 
 impl Engine {
-    /// Takes one step, and tells which prompts it finished.
+    /// Advances by one step, and returns the prompts that it finished.
     fn step(&mut self) -> Vec<Measurement> {
         const CHUNK: f64 = 4096.0;
         const TOKEN_MS: f64 = 6.0;
@@ -234,7 +233,7 @@
     }
 }
 
-/// What a minute of prompts beside a stream came to.
+/// Counts of one minute of prompts beside a stream.
 struct Minute {
     sent: usize,
     events: usize,
@@ -243,7 +242,8 @@
 }
 
 /// A prompt of 9,200 tokens every 300 ms, more than any engine reads, beside a stream whose events
-/// have four tokens and are promised every 600 ms. The first half is for learning.
+/// have four tokens and are promised every 600 ms. Only the second half is counted; in the first
+/// half the rate adapts.
 fn minute(tokens_per_ms: f64, adapts: bool) -> Minute {
     let mut prefills = Schedule::default();
     let mut engine = Engine {
@@ -291,8 +291,9 @@
     out
 }
 
-/// A third of the engines read a quarter slower than the others. At one rate for all of them, prompts
-/// come to such an engine as fast as it can read and its streams stall for as long as that lasts.
+/// A third of the engines read a quarter slower than the others. With one rate for all of them,
+/// prompts reach such an engine as fast as it can read, and its streams stall for as long as the
+/// load lasts.
 #[test]
 fn streams_of_slow_engines() {
     let fraction = |m: &Minute| m.late as f64 / m.events as f64;
@@ -306,7 +307,7 @@
     assert!(fraction(&after) < 0.1, "{} of {}", after.late, after.events);
 }
 
-/// A fast engine takes more prompts than the usual one, and its streams keep their pace.
+/// A fast engine must get more prompts than the usual one without delaying its streams.
 #[test]
 fn fast_engines_take_more() {
     let (before, after) = (minute(36.0, false), minute(36.0, true));
@@ -314,10 +315,10 @@
     assert_eq!(after.late, 0);
 }
 
-/// Demand moves, and prompts come to an engine in waves: sixteen of 3,000 tokens at once, every four seconds.
-/// An event of the stream that runs there has nine tokens. Were the prompts read one after the other, each
-/// step would make one token in 110 ms, an event would take a second, and the client would see a pause in
-/// every wave although the engine is idle for half of the time.
+/// Prompts arrive at an engine in waves: sixteen of 3,000 tokens at once, every four seconds. An
+/// event of its stream has nine tokens. If the prompts were read without breaks, each step would
+/// produce one token in 110 ms and an event would take a second: the client would see a pause in
+/// every wave, although the engine is idle half of the time.
 #[test]
 fn long_events_beside_waves() {
     let mut prefills = Schedule::default();
@@ -360,7 +361,7 @@
     assert!(longest <= 600.0, "a pause of {longest} ms");
 }
 
-/// Short prompts say nothing of the rate: the way there takes as long as reading them.
+/// Short prompts must not change the rate: the network takes as long as their prefill.
 #[test]
 fn short_prompts_are_no_samples() {
     let mut prefills = Schedule::default();
@@ -379,9 +380,9 @@
     }
 }
 
-/// A small model is read faster than a large one. Short prompts come in numbers, so that each waits for
-/// those before it, and the first event takes 60 ms beside reading. At one rate for all models, and with
-/// that time counted as reading, prompts that the engine could read would find no slot.
+/// A small model is read faster than a large one. Many short prompts arrive, so each waits for
+/// those before it, and the base latency is 60 ms. With one rate for all models, or with the base
+/// latency counted as prefill, prompts would find no slot although the engine could read them.
 #[test]
 fn small_models_are_read_faster() {
     let mut prefills = Schedule::default();
@@ -395,15 +396,16 @@
     assert!((30.0..36.0).contains(&prefills.rate("large")));
 }
 
-/// One prompt in three has been read by the engine without its agent knowing: another life of the agent sent
-/// it, or it shares more than it says. Its first event comes at once. Taken for a faster engine, prompts would
-/// come half as fast again as they can be read, and streams would pause beside them.
+/// One prompt in three is cached at the engine without its agent's knowledge: another incarnation
+/// of the agent admitted it, or it shares a longer prefix than it states. Its first event comes at
+/// once. If that counted as a faster engine, prompts would arrive 1.5 times as fast as the engine
+/// can read them, and streams would pause.
 #[test]
 fn cached_without_the_agents_knowledge() {
     let mut prefills = Schedule::default();
     prefills.record(&read("a", 100, 20));
     for n in 0..300 {
-        // 6,600 tokens, of which the engine reads 33 in a millisecond.
+        // 6,600 tokens, of which the engine reads 33 per millisecond.
         let prefill_time = 6600.0 / prefills.rate("a");
         let took = if n % 3 == 0 { 25 } else { 20 + 200 };
         prefills.record(&read("a", prefill_time as u64, took));
@@ -412,8 +414,8 @@
     assert!((25.0..=38.0).contains(&rate), "{rate} tokens a millisecond");
 }
 
-/// An engine turns slow and takes three times as long for every prompt. At the rate before, the prompts of a
-/// second would take three, and all streams would stall until their clients leave.
+/// An engine becomes three times slower. At the former rate the prompts of one second would take
+/// three, and all streams would stall until their clients disconnect.
 #[test]
 fn engine_slows_down() {
     let mut prefills = Schedule::default();
@@ -425,9 +427,9 @@
     assert!(prefills.rate("a") < 14.0, "{}", prefills.rate("a"));
 }
 
-/// A prompt asks for its slot at an engine whose model makes way. It is to go elsewhere; told a wait of a
-/// minute, the request that finds no other engine would tell its client to come back after that, while
-/// its model is there again within a second.
+/// A prompt requests its slot at an engine that is about to evict the prompt's model. It has to go
+/// to another engine. With a wait of a minute a request that finds no other engine would send its
+/// client away for that time, although the model is loaded again within a second.
 #[test]
 fn model_is_draining() {
     let req = Request {
--- a/crates/stair-fleet/tests/quarantine.rs
+++ b/crates/stair-fleet/tests/quarantine.rs
@@ -1,4 +1,4 @@
-//! Which request is blamed for the ends of targets.
+//! Tests of the attribution of crashes to requests.
 
 use std::time::Duration;
 
@@ -17,7 +17,7 @@
     fingerprint::Contents, //
 };
 
-/// Longer than targets end together for one cause.
+/// Longer than the window in which crashes may share a cause.
 const BEYOND_COINCIDENCE: Duration = Duration::from_secs(1);
 
 fn request(n: usize) -> Fingerprint {
@@ -31,7 +31,7 @@
     .fingerprint()
 }
 
-/// The same as it was cut, right after it had begun.
+/// A run of the request that was interrupted right after it had begun.
 fn run(n: usize) -> Run {
     Run {
         fingerprint: request(n),
@@ -40,7 +40,7 @@
     }
 }
 
-/// The same where it ran as a suspect.
+/// The same for a trial.
 fn trial(n: usize) -> Run {
     Run {
         on_trial: true,
@@ -48,7 +48,7 @@
     }
 }
 
-/// A ledger and the time.
+/// A ledger and its clock.
 #[derive(Default)]
 struct Bench {
     ledger: Ledger,
@@ -57,7 +57,8 @@
 }
 
 impl Bench {
-    /// A target ends with these requests on it, without the ledger judging it yet. Suspects run apart.
+    /// Reports a crash of a target with these requests, without judging it. Runs of suspects are
+    /// trials.
     fn report_crash(&mut self, runs: &[usize]) {
         self.crashes += 1;
         let one = |n: usize| match self.standing(n) {
@@ -76,7 +77,7 @@
         self.ledger.settle(self.now)
     }
 
-    /// A target ends with these requests on it, some time after all others.
+    /// Reports and judges a crash of a target with these requests, some time after all others.
     fn crash(&mut self, runs: &[usize]) -> Vec<Notice> {
         self.now += BEYOND_COINCIDENCE;
         self.report_crash(runs);
@@ -105,7 +106,7 @@
     assert_eq!(notices[0].standing, is_quarantined);
 }
 
-/// Each time other requests are on the target that the same one ends.
+/// The same request is on each target that crashes, each time with other requests.
 #[test]
 fn varying_companions() {
     let mut bench = Bench::default();
@@ -118,7 +119,8 @@
     assert_eq!(others.count(), 0);
 }
 
-/// The same requests meet at the next target each time: neither is quarantined before they have run apart.
+/// The same two requests are on each target that crashes: neither may be quarantined before they
+/// have run apart.
 #[test]
 fn always_together() {
     let mut bench = Bench::default();
@@ -138,7 +140,7 @@
     assert_eq!(bench.standing(2), None);
 }
 
-/// A request ends its targets only after it has run for a while: it takes more crashes.
+/// A request crashes its targets only after it has run for a while, so it takes more crashes.
 #[test]
 fn late_in_its_run() {
     let mut bench = Bench::default();
@@ -160,7 +162,8 @@
     assert!(bench.is_quarantined(1));
 }
 
-/// Many targets end at the same time, several times in a row, under requests that are repeated at once.
+/// Many targets crash at the same time, several times in a row, under requests that are sent again
+/// at once. None of these may be quarantined.
 #[test]
 fn crashes_in_series() {
     let mut bench = Bench::default();
@@ -175,7 +178,7 @@
     assert_eq!(is_quarantined.count(), 0);
 }
 
-/// Two deadly requests end their targets at the same moments.
+/// Two requests crash their targets at the same moments.
 #[test]
 fn coinciding_crashes_of_two_requests() {
     let mut bench = Bench::default();
@@ -188,7 +191,7 @@
     assert!(bench.is_quarantined(1) && bench.is_quarantined(2));
 }
 
-/// A request that runs often is on two crashes, and survives between and after them.
+/// A request that runs often is on two crashes, and survives runs between and after them.
 #[test]
 fn survivor_is_cleared() {
     let mut bench = Bench::default();
@@ -201,7 +204,7 @@
     assert!(!bench.ledger.survived(request(1)));
 }
 
-/// Entries report one crash each, at different times.
+/// Entries report the same crash at different times.
 #[test]
 fn one_crash_many_reports() {
     let mut bench = Bench::default();
@@ -220,7 +223,8 @@
     assert_eq!(bench.ledger.notices(bench.now), vec![]);
 }
 
-/// After its time a quarantined request may run once, and is quarantined for longer if it ends that target too.
+/// After its quarantine a request may run once, and is quarantined for longer if it crashes that
+/// target too.
 #[test]
 fn quarantine_expires() {
     let mut bench = Bench::default();
@@ -238,7 +242,7 @@
     }
 }
 
-/// What was under way when a request was quarantined does not prolong that.
+/// Runs that were in progress when a request was quarantined must not prolong the quarantine.
 #[test]
 fn runs_in_progress_do_not_prolong_it() {
     let mut bench = Bench::default();
@@ -249,7 +253,7 @@
     assert!(remaining <= QUARANTINE_DURATIONS[0]);
 }
 
-/// A ledger that has started anew learns from entries what it lost.
+/// A ledger that has restarted gets from entries what it lost.
 #[test]
 fn restored_from_entries() {
     let mut old = Bench::default();
@@ -262,7 +266,7 @@
     assert!(new.is_quarantined(1));
 }
 
-/// A flood of requests that each end a target takes bounded memory, and does not push out what is quarantined.
+/// Many requests that each crash a target must take bounded memory and not evict a quarantined one.
 #[test]
 fn bounded_under_flood() {
     let mut bench = Bench::default();
@@ -276,7 +280,7 @@
     assert!(bench.is_quarantined(1));
 }
 
-/// The run of a suspect whose entry has gone does not keep others waiting.
+/// The trial of an entry that has disconnected must not block others.
 #[test]
 fn entry_disconnects() {
     let mut bench = Bench::default();
@@ -303,7 +307,7 @@
     assert!(list.apply(&notice(Standing::Suspect), now));
     assert!(!list.apply(&notice(Standing::Suspect), now));
     assert!(list.apply(&notice(Standing::Quarantined(is_quarantined)), now));
-    // Another agent may be behind.
+    // The notice of an agent that lags.
     assert!(!list.apply(&notice(Standing::Suspect), now));
     let standing = list.standing(&request(1), now);
     assert_eq!(standing, Some(Standing::Quarantined(is_quarantined)));
--- a/crates/stair-fleet/tests/quarantine_load.rs
+++ b/crates/stair-fleet/tests/quarantine_load.rs
@@ -1,4 +1,6 @@
-//! Plays a load of ordinary and deadly requests on a small fleet, and counts what clients get.
+//! Simulates ordinary and deadly requests on a small fleet, and counts the results of clients.
+//!
+//! A deadly request crashes each target that runs it.
 
 use std::{
     collections::BTreeMap,
@@ -21,22 +23,25 @@
 
 const STEP: Duration = Duration::from_millis(10);
 const TARGETS: usize = 18;
-/// Targets that hold the model that most requests ask for, the deadly ones among them.
+/// Targets with the busy model, which half of the ordinary and all deadly requests use.
 const REPLICAS: usize = 6;
+/// Time that a crashed target needs to restart.
 const RESTART_TIME: Duration = Duration::from_millis(2500);
-/// Time until the entries know that a target has ended.
+/// Time until the entries detect a crash.
 const DETECTION_DELAY: Duration = Duration::from_millis(30);
-/// Tries of an ordinary client in all.
+/// Attempts of an ordinary client.
 const TRIES: u32 = 6;
+/// Time after a deadly request's third crash from which its runs count as late.
 const MAX_CONTACT_TIME: Duration = Duration::from_secs(3);
+/// Simulated time.
 const DURATION: Duration = Duration::from_secs(40);
 
-/// Which requests are held back.
+/// The rule by which requests are quarantined.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Policy {
-    /// What three targets ended under, without surviving one.
+    /// Three crashes without a survived run.
     Strikes,
-    /// What the ledger says.
+    /// The rule of the ledger.
     Blame,
 }
 
@@ -44,22 +49,22 @@
 struct Load {
     policy: Policy,
     seed: u64,
-    /// Deadly requests, each sent by two clients at a time.
+    /// Number of deadly requests, each sent by two clients.
     deadly: usize,
-    /// Pause between series of crashes, five targets each.
+    /// Pause between series of crashes, of five targets each.
     series: Option<Duration>,
 }
 
-/// What came of it.
+/// The counts of a simulation.
 #[derive(Debug, Default, Clone, PartialEq)]
 struct Outcome {
     served: usize,
     failed: usize,
-    /// Ordinary requests that were refused for what they did to targets.
+    /// Ordinary requests that were refused because of crashes.
     wrongly_refused: usize,
-    /// Runs of the worst deadly request.
+    /// Runs of the deadly request with the most runs.
     runs: usize,
-    /// Those that began later than [`MAX_CONTACT_TIME`] after its third crash.
+    /// Runs of a deadly request later than [`MAX_CONTACT_TIME`] after its third crash.
     late: usize,
 }
 
@@ -109,11 +114,11 @@
     waiting: Vec<Client>,
     ledger: Ledger,
     watchlist: Watchlist,
-    /// Ends that have not been reported yet, and ledgers' looks.
+    /// Crashes that have not been reported yet, and the times at which the ledger judges.
     reports: Vec<(Duration, Crash)>,
     settle_at: Vec<Duration>,
     strikes: BTreeMap<Fingerprint, u32>,
-    /// When each deadly request began to run, and when targets ended under it.
+    /// Start times of the runs of each deadly request, and times of the crashes under it.
     begun: BTreeMap<usize, Vec<Duration>>,
     crashed: BTreeMap<usize, Vec<Duration>>,
     outcome: Outcome,
@@ -185,7 +190,7 @@
                 (0..5).for_each(|n| self.crash((first + n * 3) % TARGETS));
             }
             self.run();
-            self.apply_report();
+            self.exchange_reports();
             self.send();
         }
         for (request, begun) in &self.begun {
@@ -198,7 +203,7 @@
         self.outcome
     }
 
-    /// Ends runs whose time has come.
+    /// Ends runs that are due.
     fn run(&mut self) {
         for t in 0..TARGETS {
             let now = self.now;
@@ -269,8 +274,8 @@
         }
     }
 
-    /// Tells the ledger of ends, and the entries what it says.
-    fn apply_report(&mut self) {
+    /// Reports crashes to the ledger and its notices to the entries.
+    fn exchange_reports(&mut self) {
         let now = self.now;
         let reports = std::mem::take(&mut self.reports);
         let (due, later): (Vec<_>, Vec<_>) = reports.into_iter().partition(|(at, _)| *at <= now);
@@ -344,7 +349,7 @@
         }
     }
 
-    /// The least busy target that holds the model, as all clients see it.
+    /// The least busy target with the model.
     fn choose(&self, client: &Client) -> Option<usize> {
         let replicas = match client.busy_model {
             true => 0..REPLICAS,
@@ -358,7 +363,7 @@
     }
 }
 
-/// Plays several seeds; what came of all of them, and of the worst where that is said.
+/// Simulates several seeds. Sums the counts, and takes the maximum of `runs` and `late`.
 fn simulate_seeds(load: Load) -> Outcome {
     let mut all = Outcome::default();
     for seed in 1..=SEEDS {
@@ -382,10 +387,10 @@
     series: None,
 };
 
-/// Retries after the third crash that a deadly request may make.
+/// Limit of late runs of a deadly request.
 const MAX_RETRIES: usize = 3;
 
-/// Deadly requests, each by two clients, beside ordinary ones on the same replicas.
+/// Deadly requests, each sent by two clients, beside ordinary ones on the same replicas.
 #[test]
 fn deadly_requests() {
     for deadly in [1, 2] {
@@ -395,7 +400,7 @@
     }
 }
 
-/// So many that the replicas are down for most of the time.
+/// With four deadly requests the replicas are down most of the time.
 #[test]
 fn four_deadly_requests() {
     let all = simulate_seeds(Load { deadly: 4, ..LOAD });
@@ -403,7 +408,7 @@
     assert_eq!(all.wrongly_refused, 0);
 }
 
-/// A quarter of the targets end at a time, again and again.
+/// A quarter of the targets crash together, repeatedly.
 #[test]
 fn series() {
     for pause in [1000, 2000, 4000] {
@@ -413,7 +418,7 @@
     }
 }
 
-/// Both at once.
+/// Deadly requests and series of crashes together.
 #[test]
 fn deadly_requests_in_series() {
     let all = simulate_seeds(Load {
@@ -425,7 +430,7 @@
     assert_eq!(all.wrongly_refused, 0);
 }
 
-/// Counting to three refuses ordinary requests that share the deadly one's targets.
+/// Counting three crashes refuses ordinary requests that run on the targets of a deadly one.
 #[test]
 fn strikes_refuse_ordinary_requests() {
     let all = simulate_seeds(Load {
--- a/crates/stair-fleet/tests/quota.rs
+++ b/crates/stair-fleet/tests/quota.rs
@@ -1,4 +1,4 @@
-//! What workspaces are let through of what they may ask for.
+//! Tests of the quotas of workspaces.
 
 use std::time::Duration;
 
@@ -26,7 +26,7 @@
     unit: Unit::Tokens { plain: 200.0 },
 };
 
-/// A draft of the size that readers of long style guides send.
+/// Cost of a request with a long prompt.
 const DRAFT: f64 = 9_240.0;
 
 fn ms(ms: u64) -> Duration {
@@ -52,7 +52,7 @@
     assert_eq!(Unit::Requests.cost(9_240), 1.0);
 }
 
-/// Guards against a workspace whose requests cost more than its burst and would never be served.
+/// A request that costs more than the burst must be served eventually.
 #[test]
 fn larger_than_burst() {
     let small = Quota {
@@ -66,7 +66,7 @@
     assert!(bucket.spend(DRAFT, ms(0), ms(10) + later.wait).granted);
 }
 
-/// Guards against clients that are all told the same moment, and come back together.
+/// Refused clients must not all return at the same moment.
 #[test]
 fn returns_are_spread() {
     let mut bucket = Bucket::new(TOKENS, ms(0));
@@ -86,7 +86,8 @@
     assert!(next.wait > ms(300) && next.wait < ms(400), "{next:?}");
 }
 
-/// Guards against what was let through before a process began, or by the one that it stands in for.
+/// Requests admitted before a process started, or by the process that it replaces, are unknown. A
+/// new bucket must not have credit for that time.
 #[test]
 fn no_credit_at_first() {
     let mut ledger = Ledger::default();
@@ -102,7 +103,7 @@
     assert!(!ledger.handle(&stand_in, late).0.granted);
 }
 
-/// An entry that lags asks with an allowance that is no longer in force.
+/// An entry that lags sends a quota that is no longer in force.
 #[test]
 fn versions_only_rise() {
     let mut ledger = Ledger::default();
@@ -140,7 +141,7 @@
     ledger.refund("nobody", DRAFT, ms(0));
 }
 
-/// One second of demand comes to the entries unevenly: most of it to one of them.
+/// Distributes requests unevenly over entries: two of three go to the first one.
 fn uneven(entries: u64, n: u64) -> u64 {
     match n % 3 {
         0 => n % entries,
@@ -148,7 +149,7 @@
     }
 }
 
-/// Counts what is let through of half an allowance that comes unevenly to entries, by way of counting.
+/// Counts the admitted requests of 100 that use half of a quota, distributed unevenly over entries.
 fn count_admitted<F>(entries: u64, mut admits: F) -> u32
 where
     F: FnMut(u64, Duration) -> bool,
@@ -162,8 +163,8 @@
     admitted
 }
 
-/// A workspace asks for half of its allowance, most of it at one of 24 entries. Parts of the entries refuse
-/// most of what it has paid for; one that counts for all refuses nothing.
+/// A workspace uses half of its quota, most of it at one of 24 entries. Equal shares of the entries
+/// refuse most of its requests; one bucket for all entries must refuse none.
 #[test]
 fn uneven_demand() {
     let entries = 24;
@@ -180,19 +181,19 @@
     assert!(by_shares < 50, "{by_shares} of 100 by shares");
 }
 
-/// What happens to a bucket.
+/// An event of a bucket.
 #[derive(Debug, Clone)]
 enum Event {
     Spend {
         cost: u32,
         max_wait: u64,
     },
-    /// A request that is given back before it is sent.
+    /// A request that is refunded before it is sent.
     Refund {
         cost: u32,
     },
     Pass(u64),
-    /// The clock of the process stands still, so that a moment comes again.
+    /// A moment of the process's clock is repeated.
     ClockStops,
     DiscardCredit,
 }
@@ -208,7 +209,8 @@
 }
 
 proptest! {
-    /// No order of events lets more through within any time than the rate, the burst and one request.
+    /// Whatever the order of events, the requests admitted within any time are bounded by the rate,
+    /// the burst and one request.
     #[test]
     fn bound_holds(events in vec(event(), 1..200)) {
         let mut bucket = Bucket::new(TOKENS, ms(0));
--- a/crates/stair-fleet/tests/random.rs
+++ b/crates/stair-fleet/tests/random.rs
@@ -1,4 +1,4 @@
-//! Bounds that hold for any order of events.
+//! Properties that hold for any order of events.
 
 mod support;
 
@@ -28,12 +28,12 @@
     target, //
 };
 
-/// What happens to the list of targets. Lives are numbered; two share each address.
+/// An event of the list of targets. Incarnations are numbered; two share each address.
 #[derive(Debug, Clone)]
 enum Event {
     Put(usize),
     Remove(usize),
-    /// The whole list, with how long what it lacks is waited for.
+    /// A whole list, and the time in milliseconds for which targets that it lacks are used.
     List(Vec<usize>, u64),
     Pass(u64),
 }
@@ -57,7 +57,7 @@
     }
 }
 
-/// The oracle: until when each life may get requests, if it may.
+/// A model of the list: the time until which each incarnation gets requests, if it does.
 #[derive(Default)]
 struct Oracle {
     incarnations: [Option<Duration>; INCARNATIONS],
@@ -68,7 +68,7 @@
 impl Oracle {
     fn put(&mut self, n: usize) {
         if self.incarnations[n].is_none() {
-            // The other life at the address is over if it was only waited for.
+            // The other incarnation at the address is removed if it is missing.
             let other = &mut self.incarnations[n ^ 1];
             *other = other.filter(|until| *until == FOREVER);
         }
@@ -99,9 +99,9 @@
         ..ProptestConfig::default()
     })]
 
-    /// A target that has said that it leaves, or that was missing for too long, gets nothing more,
-    /// whatever lists and changes come in whatever order; one that is listed does. Neither does one
-    /// that is only waited for, once another life has come to its address.
+    /// A target that drained, or was missing for too long, gets no requests, and neither does a
+    /// missing one whose address has a new incarnation. Each listed target does, whatever the order
+    /// of lists and changes.
     #[test]
     fn removed_targets(events in vec(event(), 1..60)) {
         let mut view = View::default();
@@ -134,7 +134,7 @@
         }
     }
 
-    /// Whatever fails when, all entries together make no more retries in any window than are allowed.
+    /// All entries together make no more retries in any window than allowed.
     #[test]
     fn retries_of_all_entries(events in vec((0..4usize, 0..400u64, any::<bool>()), 1..400)) {
         let opts = Options {
@@ -163,8 +163,8 @@
         }
     }
 
-    /// However prompts come, whatever was learned of the engine before, no more tokens are let through
-    /// in any half second than it reads in a burst, what drains meanwhile and one prompt.
+    /// Whatever the order of prompts and the measurements before, the tokens admitted in any half
+    /// second are at most those of a burst, of the prefill meanwhile and of one prompt.
     #[test]
     fn prompts_admitted(
         prompts in vec((0..300u64, 200..12_000u32, 0..6u64), 1..120),
--- a/crates/stair-fleet/tests/route.rs
+++ b/crates/stair-fleet/tests/route.rs
@@ -1,4 +1,4 @@
-//! Choosing a route by host and path, and a service by weight.
+//! Tests of the choice of a route by host and path, and of a service by weight.
 
 use std::time::Duration;
 
@@ -59,7 +59,7 @@
     let c = catalogue();
     assert!(c.route("b.example", "/z").is_none());
     assert!(c.route("c.example", "/x/").is_none());
-    // A prefix ends with a slash, so a longer first part is another path.
+    // A prefix ends with a slash, so a longer first segment is another path.
     assert!(c.route("b.example", "/xy").is_none());
 }
 
--- a/crates/stair-fleet/tests/support/mod.rs
+++ b/crates/stair-fleet/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! A small fleet to decide about.
+//! A small fleet of engines for tests.
 #![allow(dead_code)]
 
 use std::{
@@ -49,7 +49,7 @@
     }
 }
 
-/// Six models of 60 GB, engines with room for two.
+/// Six models of 60 GB; an engine has memory for two.
 pub(crate) fn engine() -> Engine {
     Engine {
         slots: 64,
@@ -90,7 +90,7 @@
     inventory
 }
 
-/// A report of an idle engine that holds these models and has those on its disk.
+/// A report of an idle engine with these models loaded and those on its disk.
 pub(crate) fn report(models: &[&str], on_disk: &[&str]) -> Report {
     Report {
         inventory: inventory(models, on_disk),
@@ -103,8 +103,8 @@
     }
 }
 
-/// A report of an engine that has nothing but a load from the weight store under way, which has
-/// taken so many times its declared time.
+/// A report of an engine without models that loads one from the weight store. The load has taken
+/// `slowdown` times its declared time.
 pub(crate) fn fetching(model: &str, remaining: Duration, slowdown: f32) -> Report {
     let mut report = report(&[], &[]);
     report.load.loading = Some(Loading {
@@ -116,9 +116,10 @@
     report
 }
 
-/// Part of an engine's time that a prompt of usual length takes a second.
+/// Fraction of an engine's time that one prompt of usual length per second takes.
 pub(crate) const PROMPT_PREFILL_FRACTION: f32 = 0.22;
 
+/// Adds use of a model to a report.
 pub(crate) fn used(mut report: Report, model: &str, per_s: f32, in_flight: u32) -> Report {
     report.load.usage.push(Usage {
         model: model.into(),
@@ -130,7 +131,7 @@
     report
 }
 
-/// Engines in the order of their reports, with the keys.
+/// Engines with these reports, and their keys in the same order.
 pub(crate) fn fleet(reports: Vec<Report>) -> (View, Vec<TargetKey>) {
     let mut view = View::default();
     let targets = (0..reports.len()).map(|n| target(n, SERVICE)).collect();
@@ -145,7 +146,7 @@
     (view, keys)
 }
 
-/// Tells the view what the agent of an engine reports.
+/// Applies a report of an engine's agent.
 pub(crate) fn apply_report(view: &mut View, n: usize, report: Report) {
     view.set_inventory_at(addr(n), report.inventory, NOW);
     view.set_load_at(addr(n), report.load, NOW);
--- a/crates/stair-fleet/tests/view.rs
+++ b/crates/stair-fleet/tests/view.rs
@@ -1,4 +1,4 @@
-//! What an entry knows of the targets, and how long it holds.
+//! Tests of an entry's list of targets: announcements, incarnations and removal.
 
 mod support;
 
@@ -22,9 +22,9 @@
     target,
 };
 
-/// The store was away and lost the announcements of targets that live. They announce themselves
-/// again within two seconds; if the first list were believed, half of a sound fleet would get no
-/// requests. One that stays missing has left.
+/// After an outage the store lacks targets that live; they announce themselves again within two
+/// seconds. If the first list were trusted, half of a healthy fleet would get no requests. A target
+/// that stays missing counts as removed.
 #[test]
 fn missing_after_an_outage() {
     let mut view = View::default();
@@ -41,7 +41,7 @@
     assert_eq!(available(&view, NOW + ms(3000)), 2);
 }
 
-/// Without an outage a target that a list lacks has left at once.
+/// Without an outage a target that the list lacks is removed at once.
 #[test]
 fn missing_otherwise() {
     let mut view = View::default();
@@ -50,8 +50,8 @@
     assert!(!view.of(SERVICE).any(|(_, s)| s.is_available(NOW)));
 }
 
-/// A target's address is used again by a target of another service. Its requests must go by the
-/// new announcement, and the report of the old one's agent must not count for it.
+/// A target of another service gets the address of a removed one. Its requests must follow the new
+/// announcement, and the report of the old target's agent must not count for it.
 #[test]
 fn address_reused() {
     let (mut view, keys) = fleet(vec![report(&["a"], &[])]);
@@ -76,8 +76,9 @@
     assert!(!view.get(key).is_available(NOW));
 }
 
-/// An engine says that it lacks a model that its announcement still lists. Until the next one, no
-/// further request is sent there for it: each would be refused and use up a retry.
+/// An engine refuses a request because it has not loaded the model that its announcement still
+/// lists. Until the next report no request for the model may go there: each would be refused and
+/// use up a retry.
 #[test]
 fn model_not_loaded() {
     let (mut view, keys) = fleet(vec![report(&["a"], &[])]);
@@ -88,7 +89,7 @@
     assert!(view.get(keys[0]).can_run("a", NOW));
 }
 
-/// A process sees thousands of replacements; slots of targets that are gone are used again.
+/// A process sees thousands of replacements. The slots of removed targets must be reused.
 #[test]
 fn does_not_grow() {
     let mut view = View::default();
@@ -105,8 +106,8 @@
     assert_eq!(format!("{key:?}"), "TargetKey { slot: 0, serial: 1001 }");
 }
 
-/// One entry is turned away by the store and lags. It is told of the one that is ahead, and of no
-/// other; those that are level are told nothing but who has the least name.
+/// One entry is rejected by the store and lags. It must get the entries with newer state and no
+/// others; entries that are up to date get only the least name.
 #[test]
 fn peers_with_newer_state() {
     let known = |entry: &str, catalogue, targets| ReplicationState {
@@ -125,9 +126,9 @@
     assert!(Peers::of(&all[2], &all).newer.is_empty());
 }
 
-/// A target leaves while one entry is cut off from the store. The entry gets the list from a peer.
-/// If the peer still told the target, it would get requests again long after its word that it
-/// leaves, and its clients would see them cut.
+/// A target is removed while one entry is disconnected from the store, and the entry gets the list
+/// from a peer. If the peer still sent the target, it would get requests long after it announced
+/// that it drains, and these would be interrupted.
 #[test]
 fn peer_does_not_restore_removed() {
     let mut peer = View::default();
@@ -139,7 +140,8 @@
             .filter(|(_, s)| s.is_available(now))
             .count()
     };
-    // The peer waits for it itself: so does the other, no longer.
+    // The peer still waits for the target, so the other entry does too, but no longer than the
+    // peer.
     disconnected.replace_from_peer(peer.list(NOW + ms(1000)), 2, NOW + ms(1000));
     assert_eq!(available(&disconnected, NOW + ms(1500)), 2);
     assert_eq!(available(&disconnected, NOW + ms(1900)), 1);
@@ -150,10 +152,10 @@
     assert_eq!(available(&third, later), 1);
 }
 
-/// The history of the store is dropped while an engine restarts. The list that is read anew has the
-/// engine's next life at the same address and lacks the one before. Were the dead one found by the
-/// address, it would get the agent's reports, and the agent would be told a life that its engine
-/// refuses all orders for: the engine would stand idle while others are crowded.
+/// The store drops its history while an engine restarts. The list that is read again has the
+/// engine's new incarnation at the same address and lacks the stale one. If the address still led
+/// to the stale one, it would get the agent's reports, the agent would get an incarnation for which
+/// its engine refuses all orders, and the engine would stay idle while others are overloaded.
 #[test]
 fn new_incarnation_after_a_new_list() {
     let (mut view, _) = fleet(vec![report(&["a"], &[])]);
@@ -167,7 +169,7 @@
     assert_eq!(view.of(SERVICE).count(), 1);
 }
 
-/// An engine crashes and its next life announces itself before the list has dropped the dead one.
+/// An engine crashes, and its new incarnation announces itself before the list drops the dead one.
 #[test]
 fn new_incarnation_beside_the_dead_one() {
     let (mut view, keys) = fleet(vec![report(&["a"], &[])]);
@@ -181,7 +183,8 @@
     assert_eq!(view.at(addr(0)).map(|(k, _)| k), Some(key));
 }
 
-/// What is missing is not kept for ever: gauges, links and look-ups by address go by the list.
+/// Missing targets must be removed eventually: gauges, connections and lookups by address use the
+/// list.
 #[test]
 fn missing_targets_expire() {
     let mut view = View::default();
@@ -193,8 +196,9 @@
     assert_eq!(view.all().count(), 0);
 }
 
-/// A request waits for its slot at an engine, which leaves. A target of another service comes and gets
-/// its slot. Sent by the old key, a prompt would run at a service that its route does not name.
+/// A request waits for its prefill slot at an engine that is then removed, and a target of another
+/// service reuses the engine's slot in the view. With the old key the prompt would run at a service
+/// that its route does not name.
 #[test]
 fn slot_reused() {
     let mut view = View::default();
@@ -222,8 +226,9 @@
     }
 }
 
-/// An engine crashes and starts again under the id that it had. It holds nothing, and what was sent to
-/// the life before is over. Taken for the same one, it would be sent requests for models that it lost.
+/// An engine crashes and starts again under the same id. The new incarnation has no models loaded,
+/// and the requests sent to the stale one have ended. If both counted as one, it would get requests
+/// for models that it has lost.
 #[test]
 fn restart_under_the_same_id() {
     let mut view = View::default();
@@ -242,8 +247,8 @@
     assert_eq!(view.of(SERVICE).count(), 1);
 }
 
-/// What an engine wrote in its former life reaches the list late, from the store or from a peer. It says
-/// that the engine leaves; believed, the engine would get no request until its next change.
+/// An announcement of a stale incarnation arrives late, from the store or from a peer. It says that
+/// the engine drains; if it were applied, the engine would get no requests until its next change.
 #[test]
 fn late_announcement_of_a_stale_incarnation() {
     let mut view = View::default();
@@ -255,12 +260,12 @@
     assert_eq!(view.put(stale.clone(), NOW), None);
     view.replace(vec![stale], 2, NOW, NOW + ms(1000));
     assert!(view.get(key).is_available(NOW + ms(1000)));
-    // A writer that does not say when it started is not the target either.
+    // An announcement without a start comes from another writer.
     assert_eq!(view.put(target(0, SERVICE), NOW + ms(1000)), None);
 }
 
-/// An engine's clock is set back between two lives, so that the later one looks older. Its words come
-/// heartbeat after heartbeat; were they dropped for ever, a sound engine would stand idle.
+/// An engine's clock is set back between two incarnations, so that the newer one looks stale. If
+/// its announcements were dropped forever, a healthy engine would stay idle.
 #[test]
 fn clock_set_back() {
     let mut view = View::default();
@@ -271,15 +276,15 @@
         .put(incarnation(10), NOW + ms(3800))
         .expect("accepted by now");
     assert_eq!(view.get(key).target.started, Some(10));
-    // The word of the other life between starts the time anew.
+    // An announcement of the other incarnation in between restarts the timeout.
     view.put(incarnation(20), NOW + ms(4000));
     view.put(incarnation(10), NOW + ms(4100));
     view.put(incarnation(20), NOW + ms(5000));
     assert_eq!(view.put(incarnation(10), NOW + ms(8000)), None);
 }
 
-/// A stranger announces itself under a service that nobody declares, at the address of a sound engine.
-/// Were it found by that address, it would get the reports of the engine's agent.
+/// An unknown writer announces an undeclared service at the address of a healthy engine. If the
+/// address led to that target, it would get the reports of the engine's agent.
 #[test]
 fn undeclared_service() {
     let mut view = View::default();
@@ -292,14 +297,14 @@
     view.put(stranger, NOW);
     assert_eq!(view.at(addr(0)).map(|(key, _)| key), Some(key));
     assert_eq!(view.all().count(), 1);
-    // Declared later, it counts.
+    // It counts once its service is declared.
     view.declare([SERVICE, "nobody's"]);
     assert_eq!(view.all().count(), 2);
 }
 
-/// An entry that is cut off from the store has newer declarations than the peer that it gets the list from.
-/// Were the targets of a service that the peer does not know left out, the entry would take them for
-/// gone and refuse all requests for that service.
+/// An entry that is disconnected from the store has newer declarations than the peer that sends it
+/// the list. If the peer left out targets of services that it does not know, the entry would remove
+/// them and refuse all requests for those services.
 #[test]
 fn list_of_a_lagging_peer() {
     let mut peer = View::default();
@@ -315,8 +320,8 @@
     assert!(disconnected.get(key).is_available(NOW));
 }
 
-/// A model whose only engine is down may soon be there again; one whose engine has left for good, or is back
-/// without it, is not waited for.
+/// A model whose only engine is unavailable may soon be available again. An engine that was removed
+/// for good, or has returned without the model, must not be waited for.
 #[test]
 fn engines_that_may_return() {
     let within = ms(6000);
--- a/crates/stair-fleet/tests/workspace.rs
+++ b/crates/stair-fleet/tests/workspace.rs
@@ -1,4 +1,4 @@
-//! Whose request it is, by key.
+//! Tests of the lookup of workspaces by key.
 
 use proptest::{
     collection::vec,
@@ -52,8 +52,8 @@
 }
 
 proptest! {
-    /// A key finds the workspace that a plain search finds, and declarations are refused if and only if a name
-    /// stands twice or a key has two workspaces.
+    /// A key finds the workspace that a linear search finds. Declarations are rejected if and only
+    /// if a name is declared twice or a key belongs to two workspaces.
     #[test]
     fn as_a_plain_search(all in vec((0..12_u8, vec(0..30_u8, 0..4)), 0..8)) {
         let names: Vec<u8> = all.iter().map(|(n, _)| *n).collect();
