--- a/crates/stair-fleet/src/lag.rs
+++ b/crates/stair-fleet/src/lag.rs
@@ -33,7 +33,7 @@
 
 impl Lag {
     /// Records a report, and returns whether the entry that sent it lags.
-    pub fn observe(&mut self, known: &ReplicationState, now: Duration) -> bool {
+    pub fn observe(&mut self, reported: &ReplicationState, now: Duration) -> bool {
         while let Some((_, newest)) = self
             .rises
             .pop_front_if(|(at, _)| now.saturating_sub(*at) >= REPLICATION_TIMEOUT)
@@ -41,13 +41,13 @@
             self.expected = newest;
         }
         let newest = Versions {
-            catalogue: self.newest.catalogue.max(known.catalogue),
-            targets: self.newest.targets.max(known.targets),
+            catalogue: self.newest.catalogue.max(reported.catalogue),
+            targets: self.newest.targets.max(reported.targets),
         };
         if newest != self.newest {
             self.newest = newest;
             self.rises.push_back((now, newest));
         }
-        known.catalogue < self.expected.catalogue || known.targets < self.expected.targets
+        reported.catalogue < self.expected.catalogue || reported.targets < self.expected.targets
     }
 }
--- a/crates/stair-fleet/src/target_state.rs
+++ b/crates/stair-fleet/src/target_state.rs
@@ -174,20 +174,20 @@
     }
 
     /// Whether an announcement is of the known incarnation.
-    pub(crate) fn is_same_incarnation(&self, word: &Target) -> bool {
-        self.target.id == word.id && self.target.started == word.started
+    pub(crate) fn is_same_incarnation(&self, announced: &Target) -> bool {
+        self.target.id == announced.id && self.target.started == announced.started
     }
 
     /// Whether an announcement is of a stale incarnation and has to be dropped; see
     /// [`STALE_ANNOUNCEMENT_TIMEOUT`].
-    pub(crate) fn is_stale(&mut self, word: &Target, now: Duration) -> bool {
-        let older = match (word.started, self.target.started) {
-            (Some(word), Some(known)) => word < known,
+    pub(crate) fn is_stale(&mut self, announced: &Target, now: Duration) -> bool {
+        let is_stale = match (announced.started, self.target.started) {
+            (Some(announced), Some(known)) => announced < known,
             // A target that announces its start always does, so this comes from another writer.
             (None, Some(_)) => true,
             (_, None) => false,
         };
-        if !older {
+        if !is_stale {
             return false;
         }
         let since = *self.stale_since.get_or_insert(now);
--- a/crates/stair-fleet/src/view.rs
+++ b/crates/stair-fleet/src/view.rs
@@ -121,13 +121,13 @@
     /// Replaces the list by a peer's. The peer may still wait for targets that are missing from its
     /// own list.
     pub fn replace_from_peer(&mut self, listed: Vec<Listed>, revision: u64, now: Duration) {
-        let late: Vec<(Box<str>, Duration)> = listed
+        let missing: Vec<(Box<str>, Duration)> = listed
             .iter()
             .filter_map(|l| Some((l.target.id.clone(), now + l.missing_for?)))
             .collect();
         let targets = listed.into_iter().map(|l| l.target).collect();
         self.replace(targets, revision, now, now);
-        for (id, until) in late {
+        for (id, until) in missing {
             let mut listed = self.targets.iter_mut().filter(|s| s.listed);
             if let Some(state) = listed.find(|s| s.target.id == id) {
                 state.missing_until = Some(until);
@@ -144,8 +144,8 @@
         let i = match known {
             Some(i) if self.targets[i].is_same_incarnation(&target) => i,
             Some(i) if self.targets[i].is_stale(&target, now) => return None,
-            former => {
-                former
+            stale => {
+                stale
                     .into_iter()
                     .for_each(|i| self.targets[i].mark_removed());
                 self.remove_missing_at(target.addr);
@@ -187,11 +187,13 @@
         }
         self.serial += 1;
         let new = TargetState::new(target.clone(), self.serial);
-        let left = |s: &TargetState| {
+        let may_be_reused = |s: &TargetState| {
             let at = s.last_inventory.as_ref().map(|(_, at)| *at);
             at.is_none_or(|at| now.saturating_sub(at) >= REMOVED_INVENTORY_TTL)
         };
-        let free = |s: &TargetState| !s.listed && s.in_flight == 0 && s.report.is_none() && left(s);
+        let free = |s: &TargetState| {
+            !s.listed && s.in_flight == 0 && s.report.is_none() && may_be_reused(s)
+        };
         if let Some(i) = self.targets.iter().position(free) {
             self.targets[i] = new;
             return i;
@@ -238,8 +240,10 @@
         let mut down = of_service.filter(|s| match &s.last_inventory {
             _ if s.listed => s.declared && s.is_down_with_copy(model, now),
             Some((inventory, at)) => {
-                let lately = now.saturating_sub(*at) < within;
-                lately && inventory.has_copy(model) && !self.has_fresh_report_at(s.target.addr, now)
+                let is_recent = now.saturating_sub(*at) < within;
+                is_recent
+                    && inventory.has_copy(model)
+                    && !self.has_fresh_report_at(s.target.addr, now)
             }
             None => false,
         });
--- a/crates/stair-fleet/tests/prefill.rs
+++ b/crates/stair-fleet/tests/prefill.rs
@@ -367,12 +367,12 @@
     let mut prefills = Schedule::default();
     let before = prefills.rate("a");
     for _ in 0..50 {
-        prefills.record(&read("a", 24, 60));
+        prefills.record(&measurement("a", 24, 60));
     }
     assert_eq!(prefills.rate("a"), before);
 }
 
-fn read(model: &str, prefill_time: u64, took: u64) -> Measurement {
+fn measurement(model: &str, prefill_time: u64, took: u64) -> Measurement {
     Measurement {
         model: model.into(),
         prefill_time: ms(prefill_time),
@@ -386,11 +386,11 @@
 #[test]
 fn small_models_are_read_faster() {
     let mut prefills = Schedule::default();
-    prefills.record(&read("small", 10, 60));
-    prefills.record(&read("large", 10, 60));
+    prefills.record(&measurement("small", 10, 60));
+    prefills.record(&measurement("large", 10, 60));
     for _ in 0..40 {
-        prefills.record(&read("small", 150, 60 + 100));
-        prefills.record(&read("large", 150, 60 + 150));
+        prefills.record(&measurement("small", 150, 60 + 100));
+        prefills.record(&measurement("large", 150, 60 + 150));
     }
     assert!(prefills.rate("small") > 1.4 * prefills.rate("large"));
     assert!((30.0..36.0).contains(&prefills.rate("large")));
@@ -403,12 +403,12 @@
 #[test]
 fn cached_without_the_agents_knowledge() {
     let mut prefills = Schedule::default();
-    prefills.record(&read("a", 100, 20));
+    prefills.record(&measurement("a", 100, 20));
     for n in 0..300 {
         // 6,600 tokens, of which the engine reads 33 per millisecond.
         let prefill_time = 6600.0 / prefills.rate("a");
         let took = if n % 3 == 0 { 25 } else { 20 + 200 };
-        prefills.record(&read("a", prefill_time as u64, took));
+        prefills.record(&measurement("a", prefill_time as u64, took));
     }
     let rate = prefills.rate("a");
     assert!((25.0..=38.0).contains(&rate), "{rate} tokens a millisecond");
@@ -419,10 +419,10 @@
 #[test]
 fn engine_slows_down() {
     let mut prefills = Schedule::default();
-    prefills.record(&read("a", 100, 20));
+    prefills.record(&measurement("a", 100, 20));
     for _ in 0..20 {
         let prefill_time = 6600.0 / prefills.rate("a");
-        prefills.record(&read("a", prefill_time as u64, 20 + 600));
+        prefills.record(&measurement("a", prefill_time as u64, 20 + 600));
     }
     assert!(prefills.rate("a") < 14.0, "{}", prefills.rate("a"));
 }
--- a/crates/stair-fleet/tests/quarantine.rs
+++ b/crates/stair-fleet/tests/quarantine.rs
@@ -50,13 +50,13 @@
 
 /// A ledger and its clock.
 #[derive(Default)]
-struct Bench {
+struct Fixture {
     ledger: Ledger,
     now: Duration,
     crashes: usize,
 }
 
-impl Bench {
+impl Fixture {
     /// Reports a crash of a target with these requests, without judging it. Runs of suspects are
     /// trials.
     fn report_crash(&mut self, runs: &[usize]) {
@@ -97,25 +97,25 @@
 
 #[test]
 fn single_request() {
-    let mut bench = Bench::default();
-    assert_eq!(bench.crash(&[1]), vec![]);
-    bench.crash(&[1]);
-    assert_eq!(bench.standing(1), Some(Standing::Suspect));
-    let notices = bench.crash(&[1]);
-    let is_quarantined = Standing::Quarantined(QUARANTINE_DURATIONS[0]);
-    assert_eq!(notices[0].standing, is_quarantined);
+    let mut fixture = Fixture::default();
+    assert_eq!(fixture.crash(&[1]), vec![]);
+    fixture.crash(&[1]);
+    assert_eq!(fixture.standing(1), Some(Standing::Suspect));
+    let notices = fixture.crash(&[1]);
+    let quarantined = Standing::Quarantined(QUARANTINE_DURATIONS[0]);
+    assert_eq!(notices[0].standing, quarantined);
 }
 
 /// The same request is on each target that crashes, each time with other requests.
 #[test]
 fn varying_companions() {
-    let mut bench = Bench::default();
+    let mut fixture = Fixture::default();
     for n in 0..3 {
         let others: Vec<usize> = (10 * n + 10..10 * n + 18).collect();
-        bench.crash(&[&[1], &others[..]].concat());
+        fixture.crash(&[&[1], &others[..]].concat());
     }
-    assert!(bench.is_quarantined(1));
-    let others = (10..38).filter(|n| bench.standing(*n).is_some());
+    assert!(fixture.is_quarantined(1));
+    let others = (10..38).filter(|n| fixture.standing(*n).is_some());
     assert_eq!(others.count(), 0);
 }
 
@@ -123,131 +123,139 @@
 /// have run apart.
 #[test]
 fn always_together() {
-    let mut bench = Bench::default();
+    let mut fixture = Fixture::default();
     for _ in 0..3 {
-        bench.crash(&[1, 2]);
+        fixture.crash(&[1, 2]);
     }
-    assert_eq!(bench.standing(1), Some(Standing::Suspect));
-    assert_eq!(bench.standing(2), Some(Standing::Suspect));
-    let now = bench.now;
-    assert!(bench.ledger.begin_trial(request(1), "i-a", 1, now));
-    assert!(!bench.ledger.begin_trial(request(2), "i-a", 1, now));
-    assert!(!bench.ledger.begin_trial(request(1), "i-b", 2, now));
-    assert!(bench.ledger.begin_trial(request(2), "i-b", 1, now));
-    assert!(bench.ledger.survived(request(2)));
-    bench.crash(&[1]);
-    assert!(bench.is_quarantined(1));
-    assert_eq!(bench.standing(2), None);
+    assert_eq!(fixture.standing(1), Some(Standing::Suspect));
+    assert_eq!(fixture.standing(2), Some(Standing::Suspect));
+    let now = fixture.now;
+    assert!(fixture.ledger.begin_trial(request(1), "i-a", 1, now));
+    assert!(!fixture.ledger.begin_trial(request(2), "i-a", 1, now));
+    assert!(!fixture.ledger.begin_trial(request(1), "i-b", 2, now));
+    assert!(fixture.ledger.begin_trial(request(2), "i-b", 1, now));
+    assert!(fixture.ledger.survived(request(2)));
+    fixture.crash(&[1]);
+    assert!(fixture.is_quarantined(1));
+    assert_eq!(fixture.standing(2), None);
 }
 
 /// A request crashes its targets only after it has run for a while, so it takes more crashes.
 #[test]
 fn late_in_its_run() {
-    let mut bench = Bench::default();
+    let mut fixture = Fixture::default();
     for n in 0..6 {
-        assert!(!bench.is_quarantined(1), "after {n} crashes");
-        bench.now += BEYOND_COINCIDENCE;
+        assert!(!fixture.is_quarantined(1), "after {n} crashes");
+        fixture.now += BEYOND_COINCIDENCE;
         let late = Run {
             established: true,
-            on_trial: bench.standing(1).is_some(),
+            on_trial: fixture.standing(1).is_some(),
             ..run(1)
         };
         let crash = Crash {
             incarnation: format!("l-{n}").into(),
             runs: vec![late, run(10 + n)],
         };
-        bench.ledger.report(&crash, bench.now);
-        bench.settle();
+        fixture.ledger.report(&crash, fixture.now);
+        fixture.settle();
     }
-    assert!(bench.is_quarantined(1));
+    assert!(fixture.is_quarantined(1));
 }
 
 /// Many targets crash at the same time, several times in a row, under requests that are sent again
 /// at once. None of these may be quarantined.
 #[test]
 fn crashes_in_series() {
-    let mut bench = Bench::default();
+    let mut fixture = Fixture::default();
     for series in 0..4 {
-        bench.now += BEYOND_COINCIDENCE;
+        fixture.now += BEYOND_COINCIDENCE;
         for n in 0..5 {
-            bench.report_crash(&[n, 100 * series + n]);
+            fixture.report_crash(&[n, 100 * series + n]);
         }
-        bench.settle();
+        fixture.settle();
     }
-    let is_quarantined = (0..400).filter(|n| bench.is_quarantined(*n));
-    assert_eq!(is_quarantined.count(), 0);
+    let quarantined = (0..400).filter(|n| fixture.is_quarantined(*n));
+    assert_eq!(quarantined.count(), 0);
 }
 
 /// Two requests crash their targets at the same moments.
 #[test]
 fn coinciding_crashes_of_two_requests() {
-    let mut bench = Bench::default();
+    let mut fixture = Fixture::default();
     for _ in 0..5 {
-        bench.now += BEYOND_COINCIDENCE;
-        bench.report_crash(&[1]);
-        bench.report_crash(&[2]);
-        bench.settle();
+        fixture.now += BEYOND_COINCIDENCE;
+        fixture.report_crash(&[1]);
+        fixture.report_crash(&[2]);
+        fixture.settle();
     }
-    assert!(bench.is_quarantined(1) && bench.is_quarantined(2));
+    assert!(fixture.is_quarantined(1) && fixture.is_quarantined(2));
 }
 
 /// A request that runs often is on two crashes, and survives runs between and after them.
 #[test]
 fn survivor_is_cleared() {
-    let mut bench = Bench::default();
+    let mut fixture = Fixture::default();
     for _ in 0..10 {
-        bench.crash(&[1]);
-        bench.crash(&[1]);
-        assert!(!bench.is_quarantined(1));
-        assert!(bench.ledger.survived(request(1)));
+        fixture.crash(&[1]);
+        fixture.crash(&[1]);
+        assert!(!fixture.is_quarantined(1));
+        assert!(fixture.ledger.survived(request(1)));
     }
-    assert!(!bench.ledger.survived(request(1)));
+    assert!(!fixture.ledger.survived(request(1)));
 }
 
 /// Entries report the same crash at different times.
 #[test]
 fn one_crash_many_reports() {
-    let mut bench = Bench::default();
-    let now = bench.now;
+    let mut fixture = Fixture::default();
+    let now = fixture.now;
     for n in 0..20 {
         let crash = Crash {
             incarnation: "i-1".into(),
             runs: vec![run(1), run(2 + n)],
         };
         let at = now + SETTLE_DELAY / 10 * n as u32;
-        bench.ledger.report(&crash, at);
-        bench.ledger.settle(at);
+        fixture.ledger.report(&crash, at);
+        fixture.ledger.settle(at);
     }
-    bench.now = now + BEYOND_COINCIDENCE;
-    bench.settle();
-    assert_eq!(bench.ledger.notices(bench.now), vec![]);
+    fixture.now = now + BEYOND_COINCIDENCE;
+    fixture.settle();
+    assert_eq!(fixture.ledger.notices(fixture.now), vec![]);
 }
 
 /// After its quarantine a request may run once, and is quarantined for longer if it crashes that
 /// target too.
 #[test]
 fn quarantine_expires() {
-    let mut bench = Bench::default();
-    (0..3).for_each(|_| drop(bench.crash(&[1])));
+    let mut fixture = Fixture::default();
+    (0..3).for_each(|_| drop(fixture.crash(&[1])));
     for duration in &QUARANTINE_DURATIONS[1..] {
-        assert!(!bench.ledger.begin_trial(request(1), "i-a", 1, bench.now));
-        let Some(Standing::Quarantined(remaining)) = bench.standing(1) else {
+        assert!(
+            !fixture
+                .ledger
+                .begin_trial(request(1), "i-a", 1, fixture.now)
+        );
+        let Some(Standing::Quarantined(remaining)) = fixture.standing(1) else {
             panic!("not quarantined");
         };
-        bench.now += remaining;
-        assert_eq!(bench.standing(1), Some(Standing::Suspect));
-        assert!(bench.ledger.begin_trial(request(1), "i-a", 1, bench.now));
-        bench.crash(&[1]);
-        assert_eq!(bench.standing(1), Some(Standing::Quarantined(*duration)));
+        fixture.now += remaining;
+        assert_eq!(fixture.standing(1), Some(Standing::Suspect));
+        assert!(
+            fixture
+                .ledger
+                .begin_trial(request(1), "i-a", 1, fixture.now)
+        );
+        fixture.crash(&[1]);
+        assert_eq!(fixture.standing(1), Some(Standing::Quarantined(*duration)));
     }
 }
 
 /// Runs that were in progress when a request was quarantined must not prolong the quarantine.
 #[test]
 fn runs_in_progress_do_not_prolong_it() {
-    let mut bench = Bench::default();
-    (0..5).for_each(|_| drop(bench.crash(&[1])));
-    let Some(Standing::Quarantined(remaining)) = bench.standing(1) else {
+    let mut fixture = Fixture::default();
+    (0..5).for_each(|_| drop(fixture.crash(&[1])));
+    let Some(Standing::Quarantined(remaining)) = fixture.standing(1) else {
         panic!("not quarantined");
     };
     assert!(remaining <= QUARANTINE_DURATIONS[0]);
@@ -256,10 +264,10 @@
 /// A ledger that has restarted gets from entries what it lost.
 #[test]
 fn restored_from_entries() {
-    let mut old = Bench::default();
+    let mut old = Fixture::default();
     (0..3).for_each(|_| drop(old.crash(&[1])));
     let known = old.ledger.notices(old.now);
-    let mut new = Bench::default();
+    let mut new = Fixture::default();
     let notice = new.ledger.merge(&known[0], new.now);
     assert_eq!(notice, Some(known[0]));
     assert_eq!(new.ledger.merge(&known[0], new.now), None);
@@ -269,27 +277,27 @@
 /// Many requests that each crash a target must take bounded memory and not evict a quarantined one.
 #[test]
 fn bounded_under_flood() {
-    let mut bench = Bench::default();
-    (0..3).for_each(|_| drop(bench.crash(&[1])));
+    let mut fixture = Fixture::default();
+    (0..3).for_each(|_| drop(fixture.crash(&[1])));
     for n in 0..6000 {
-        bench.now += Duration::from_millis(5);
-        bench.report_crash(&[2 + n]);
-        bench.ledger.settle(bench.now);
+        fixture.now += Duration::from_millis(5);
+        fixture.report_crash(&[2 + n]);
+        fixture.ledger.settle(fixture.now);
     }
-    assert!(bench.ledger.records().len() <= 4096);
-    assert!(bench.is_quarantined(1));
+    assert!(fixture.ledger.records().len() <= 4096);
+    assert!(fixture.is_quarantined(1));
 }
 
 /// The trial of an entry that has disconnected must not block others.
 #[test]
 fn entry_disconnects() {
-    let mut bench = Bench::default();
-    let now = bench.now;
-    assert!(bench.ledger.begin_trial(request(1), "i-a", 7, now));
-    assert!(!bench.ledger.begin_trial(request(2), "i-a", 8, now));
-    bench.ledger.owner_disconnected(7, now);
+    let mut fixture = Fixture::default();
+    let now = fixture.now;
+    assert!(fixture.ledger.begin_trial(request(1), "i-a", 7, now));
+    assert!(!fixture.ledger.begin_trial(request(2), "i-a", 8, now));
+    fixture.ledger.owner_disconnected(7, now);
     assert!(
-        bench
+        fixture
             .ledger
             .begin_trial(request(2), "i-a", 8, now + 2 * BEYOND_COINCIDENCE)
     );
@@ -303,18 +311,18 @@
         fingerprint: request(1),
         standing,
     };
-    let is_quarantined = Duration::from_secs(60);
+    let remaining = Duration::from_secs(60);
     assert!(list.apply(&notice(Standing::Suspect), now));
     assert!(!list.apply(&notice(Standing::Suspect), now));
-    assert!(list.apply(&notice(Standing::Quarantined(is_quarantined)), now));
+    assert!(list.apply(&notice(Standing::Quarantined(remaining)), now));
     // The notice of an agent that lags.
     assert!(!list.apply(&notice(Standing::Suspect), now));
     let standing = list.standing(&request(1), now);
-    assert_eq!(standing, Some(Standing::Quarantined(is_quarantined)));
+    assert_eq!(standing, Some(Standing::Quarantined(remaining)));
     assert!(list.has_outline(request(1).outline()));
     assert!(!list.has_outline(request(2).outline()));
     assert_eq!(
-        list.standing(&request(1), now + is_quarantined),
+        list.standing(&request(1), now + remaining),
         Some(Standing::Suspect)
     );
     assert!(list.apply(&notice(Standing::Cleared), now));
