--- a/crates/stair-fleet/src/balance.rs
+++ b/crates/stair-fleet/src/balance.rs
@@ -1,7 +1,7 @@
 //! Chooses the model that gets a further replica, and the replicas that are evicted for it.
 //!
 //! Demand for a few models moves within seconds, and prompts on one engine delay the streams beside
-//! them. A move minimises the expected number of waiting requests: `w * w / 2` at an engine that
+//! them. Moves minimise the expected number of waiting requests: `w * w / 2` at an engine that
 //! spends a fraction `w` of its time on prefill, and a swap for each request of a model without a
 //! replica.
 //!
@@ -279,10 +279,10 @@
     /// Whether a further replica of a model could reach the least gain.
     fn may_need_replica(&self, model: usize) -> bool {
         let demand = &self.models[model];
-        let alone = demand.share();
+        let share = demand.share();
         // The upper bound of the gain: an engine without other load takes half of the prefill.
         !demand.targets.is_empty()
-            && alone * demand.prefill_fraction / 2.0 > MIN_GAIN_WITHOUT_EVICTION
+            && share * demand.prefill_fraction / 2.0 > MIN_GAIN_WITHOUT_EVICTION
     }
 
     /// The best way to load a model at an engine, if it reaches the least gain.
@@ -309,8 +309,8 @@
                 .map(|i| here[i])
                 .collect();
             let freed: f64 = victims.iter().map(size).sum();
-            let needless = victims.iter().any(|v| freed - size(v) >= needed);
-            if freed < needed || needless {
+            let unnecessary = victims.iter().any(|v| freed - size(v) >= needed);
+            if freed < needed || unnecessary {
                 continue;
             }
             let gain = self.gain(model, target, &victims);
--- a/crates/stair-fleet/src/catalogue.rs
+++ b/crates/stair-fleet/src/catalogue.rs
@@ -208,8 +208,8 @@
     }
 
     fn routes_to<'a>(&'a self, service: &'a str) -> impl Iterator<Item = &'a Route> {
-        let goes = |r: &&Route| r.to.iter().any(|s| *s.service == *service);
-        self.routes.iter().filter(goes)
+        let leads_to = |r: &&Route| r.to.iter().any(|s| *s.service == *service);
+        self.routes.iter().filter(leads_to)
     }
 
     /// Finds a service by name.
--- a/crates/stair-fleet/src/cold_start.rs
+++ b/crates/stair-fleet/src/cold_start.rs
@@ -78,7 +78,7 @@
     NoCapacity,
 }
 
-/// The texts are part of log lines and keep the former names of the variants.
+/// Log lines contain these texts. They differ from the names of the variants and must not change.
 impl fmt::Display for Error {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
@@ -293,7 +293,7 @@
 
     /// Eviction cost of a model: the additional wait of its requests, in milliseconds.
     fn eviction_ms(&self, model: &str, key: TargetKey) -> f64 {
-        // A model that is not declared any more has no eviction cost by demand.
+        // An undeclared model counts as one without demand.
         let demand = self.index(model).map(|i| self.demands[i]);
         let demand = demand.unwrap_or_default();
         let is_redundant = demand
@@ -347,11 +347,11 @@
         }
         victims.retain(|v| {
             let without = free - size(v.name);
-            let needless = without >= needed;
-            if needless {
+            let unnecessary = without >= needed;
+            if unnecessary {
                 free = without;
             }
-            !needless
+            !unnecessary
         });
         Some(victims)
     }
--- a/crates/stair-fleet/src/fetch.rs
+++ b/crates/stair-fleet/src/fetch.rs
@@ -62,16 +62,16 @@
     let full_speed = |f: &Fetched| (f.concurrent as f32 / f.slowdown).round().max(1.0) as usize;
     // The duration of a load that ran alone was not caused by others.
     let slow = slow.iter().filter(|f| f.concurrent > 1).map(full_speed);
-    let proven = fast
+    let max_on_time = fast
         .iter()
         .map(|f| f.concurrent as usize)
         .max()
         .unwrap_or(0);
     if let Some(n) = slow.min() {
         // `n` is too low when others joined after a load had begun, which its agent cannot know.
-        return n.max(proven);
+        return n.max(max_on_time);
     }
-    let more = match proven {
+    let more = match max_on_time {
         0 => 0,
         n if n <= MAX_DOUBLED_LIMIT => 2 * n,
         n => n + 1,
--- a/crates/stair-fleet/src/msg.rs
+++ b/crates/stair-fleet/src/msg.rs
@@ -252,7 +252,7 @@
 }
 
 impl EntrySet {
-    /// Computes it from the states of all entries.
+    /// Computes the set from the states of all entries.
     pub fn of(all: &[ReplicationState]) -> Self {
         let mut watchers: Vec<(Box<str>, Peer)> = Vec::new();
         for known in all {
@@ -303,7 +303,7 @@
     Failed,
 }
 
-/// The text is part of log lines and keeps the former name of `NoCapacity`.
+/// Log lines contain this text. `NoCapacity` is written there as `NoRoom`.
 impl fmt::Debug for Outcome {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
--- a/crates/stair-fleet/src/prefetch.rs
+++ b/crates/stair-fleet/src/prefetch.rs
@@ -223,8 +223,9 @@
                 return None;
             }
             let found = self.place(&m.name)?;
-            let cheap = found.place.victims.is_empty() && found.place.from != CopyLocation::Store;
-            cheap.then_some(found)
+            let is_cheap =
+                found.place.victims.is_empty() && found.place.from != CopyLocation::Store;
+            is_cheap.then_some(found)
         })
     }
 
@@ -251,10 +252,12 @@
                 return None;
             }
             let found = search.place(&m.name)?;
-            let further = found.place.victims.is_empty() && found.place.from == CopyLocation::Store;
+            let fits_from_store =
+                found.place.victims.is_empty() && found.place.from == CopyLocation::Store;
             let engine = self.view.get(found.place.key);
-            let last = cold_start::has_last_copy(self.view, self.service, engine, self.now);
-            (further && !last).then_some(found)
+            let has_last_copy =
+                cold_start::has_last_copy(self.view, self.service, engine, self.now);
+            (fits_from_store && !has_last_copy).then_some(found)
         })
     }
 }
--- a/crates/stair-fleet/src/prefill.rs
+++ b/crates/stair-fleet/src/prefill.rs
@@ -5,7 +5,7 @@
 //! there before it is sent.
 //!
 //! Prompts are read in bursts shorter than the promised pause between events. In the breaks between
-//! bursts each stream produces an event. A reservation is never returned, so a lost message can't
+//! bursts each stream produces an event. A reservation is never returned, so a lost message cannot
 //! block a slot. The prefill rate is estimated for each model at each engine.
 
 use std::{
@@ -188,7 +188,7 @@
             return;
         }
         let reading = took - rate.first_ms;
-        // When all prompts take the same time, prefill can't be told from the base latency. The
+        // When all prompts take the same time, prefill cannot be told from the base latency. The
         // engine was still no slower than if all of the time was prefill.
         let min_rate = ms(measured.prefill_time) / took;
         let sample = if reading > 0.0 {
--- a/crates/stair-fleet/src/quarantine/crashes.rs
+++ b/crates/stair-fleet/src/quarantine/crashes.rs
@@ -62,9 +62,9 @@
     where
         F: Fn(&Fingerprint) -> u32,
     {
-        let most = blame(run);
+        let blame_of_run = blame(run);
         let mut others = self.runs.iter().map(|r| &r.fingerprint);
-        others.all(|other| other == run || blame(other) < most)
+        others.all(|other| other == run || blame(other) < blame_of_run)
     }
 
     fn counts_for(&self, run: &Fingerprint) -> bool {
@@ -138,8 +138,8 @@
         run: &'a Fingerprint,
     ) -> impl Iterator<Item = &'a CrashRecord> {
         let on = self.list.iter().filter(|e| e.counts_for(run));
-        let apart = on.filter(|e| e.find(run).is_ok_and(|i| e.runs[i].on_trial));
-        apart.filter(|e| !self.coincides(e, run))
+        let on_trial = on.filter(|e| e.find(run).is_ok_and(|i| e.runs[i].on_trial));
+        on_trial.filter(|e| !self.coincides(e, run))
     }
 
     fn blame_for(&self, crash: &CrashRecord, run: &Fingerprint) -> u32 {
@@ -153,8 +153,8 @@
     /// Whether another target crashed at about the same time on which neither the request nor any
     /// trial ran. A trial there would explain that crash.
     fn coincides(&self, crash: &CrashRecord, run: &Fingerprint) -> bool {
-        let near = |other: &&CrashRecord| other.at.abs_diff(crash.at) <= COINCIDENCE_WINDOW;
-        let others = self.list.iter().filter(near);
+        let at_same_time = |other: &&CrashRecord| other.at.abs_diff(crash.at) <= COINCIDENCE_WINDOW;
+        let others = self.list.iter().filter(at_same_time);
         let mut others = others.filter(|other| other.incarnation != crash.incarnation);
         others.any(|other| !other.has(run) && !other.runs.iter().any(|r| r.on_trial))
     }
--- a/crates/stair-fleet/src/quarantine/ledger.rs
+++ b/crates/stair-fleet/src/quarantine/ledger.rs
@@ -82,12 +82,12 @@
         if blame < SUSPECT_BLAME {
             return None;
         }
-        let guilty = blame >= QUARANTINE_BLAME && self.is_convicted(&run);
+        let convicted = blame >= QUARANTINE_BLAME && self.is_convicted(&run);
         let known = self.find(&run).is_ok();
         let i = self.record(run, now);
         let record = &mut self.records[i];
         record.at = now;
-        if !guilty {
+        if !convicted {
             return (!known).then(|| record.notice(now));
         }
         let duration =
--- a/crates/stair-fleet/src/target_state.rs
+++ b/crates/stair-fleet/src/target_state.rs
@@ -151,8 +151,8 @@
     /// Whether the model is loaded at the target and is not about to be unloaded.
     pub fn can_run(&self, model: &str, now: Duration) -> bool {
         let report = self.fresh_report(now);
-        let leaving = report.is_some_and(|r| r.load.draining.iter().any(|m| **m == *model));
-        !leaving && self.inventory(now).model(model).is_some()
+        let draining = report.is_some_and(|r| r.load.draining.iter().any(|m| **m == *model));
+        !draining && self.inventory(now).model(model).is_some()
     }
 
     /// Whether the target is loading the model.
@@ -229,10 +229,10 @@
     /// Marks the VM as unresponsive if its agent has sent nothing for `after`. Returns whether the
     /// mark is new.
     pub fn mark_unresponsive(&mut self, after: Duration, now: Duration) -> bool {
-        let silent = |at: Duration| now.saturating_sub(at) >= after;
-        let falls = self.listed && !self.unresponsive && self.last_message.is_some_and(silent);
-        self.unresponsive |= falls;
-        falls
+        let is_silent = |at: Duration| now.saturating_sub(at) >= after;
+        let is_new = self.listed && !self.unresponsive && self.last_message.is_some_and(is_silent);
+        self.unresponsive |= is_new;
+        is_new
     }
 
     /// Adds the result of an attempt to the average.
--- a/crates/stair-fleet/src/view.rs
+++ b/crates/stair-fleet/src/view.rs
@@ -220,8 +220,8 @@
     /// Removes targets that have been missing for too long.
     ///
     /// A dead target that stayed on the list would still be found by its address, which its next
-    /// incarnation shares. The agent there would get the stale incarnation, and the engine
-    /// would refuse all orders.
+    /// incarnation shares. The agent there would get the stale incarnation, and the engine would
+    /// refuse all orders.
     pub fn expire(&mut self, now: Duration) {
         let missing = |s: &&mut TargetState| s.missing_until.is_some_and(|t| now >= t);
         self.targets
@@ -303,8 +303,8 @@
     pub fn mark_unresponsive(&mut self, now: Duration) -> Vec<Box<str>> {
         let all = self.targets.iter_mut();
         let quiet = all.filter_map(|s| {
-            let falls = s.mark_unresponsive(UNRESPONSIVE_TIMEOUT, now);
-            falls.then(|| s.target.id.clone())
+            let is_new = s.mark_unresponsive(UNRESPONSIVE_TIMEOUT, now);
+            is_new.then(|| s.target.id.clone())
         });
         quiet.collect()
     }
--- a/crates/stair-fleet/tests/cold_start.rs
+++ b/crates/stair-fleet/tests/cold_start.rs
@@ -192,7 +192,7 @@
 
 /// A fleet restarts empty, and the first replica of a busy model gets all of its requests. All of
 /// them would queue there until their deadlines. Requests with a long wait must have a further
-/// replica loaded, and requests that can't be served in time must be refused at once.
+/// replica loaded, and requests that cannot be served in time must be refused at once.
 #[test]
 fn slow_target_loads_another_replica() {
     let mut busy = report(&["a"], &["a"]);
--- a/crates/stair-fleet/tests/prefill.rs
+++ b/crates/stair-fleet/tests/prefill.rs
@@ -414,7 +414,7 @@
     assert!((25.0..=38.0).contains(&rate), "{rate} tokens a millisecond");
 }
 
-/// An engine becomes three times slower. At the former rate the prompts of one second would take
+/// An engine becomes three times slower. At the previous rate the prompts of one second would take
 /// three, and all streams would stall until their clients disconnect.
 #[test]
 fn engine_slows_down() {
--- a/crates/stair-fleet/tests/random.rs
+++ b/crates/stair-fleet/tests/random.rs
@@ -51,7 +51,7 @@
 
 fn incarnation(n: usize) -> Target {
     Target {
-        id: format!("life-{n}").into(),
+        id: format!("incarnation-{n}").into(),
         addr: addr(n / 2),
         ..target(n, SERVICE)
     }
--- a/crates/stair-fleet/tests/view.rs
+++ b/crates/stair-fleet/tests/view.rs
@@ -95,9 +95,9 @@
     let mut view = View::default();
     for n in 0..1000 {
         let mut t = target(1, SERVICE);
-        t.id = format!("life{n}").into();
+        t.id = format!("incarnation{n}").into();
         view.put(t, NOW);
-        view.remove(&format!("life{n}"));
+        view.remove(&format!("incarnation{n}"));
     }
     assert_eq!(view.all().count(), 0);
     let key = view
