--- a/crates/stair-wire/src/control.rs
+++ b/crates/stair-wire/src/control.rs
@@ -1,9 +1,9 @@
 //! The control stream of a link.
 //!
-//! An agent opens one to each of its two entries and sends [`AgentControl`]; the entry sends
-//! [`EntryControl`]. An entry that starts while the platform is down opens a stream to other
-//! entries and sends [`PeerRequest`]. The first frame of every stream is an [`Opening`], so that
-//! one listener serves all kinds.
+//! An agent opens one control stream to each of its two entries and sends [`AgentControl`]; the
+//! entry sends [`EntryControl`]. An entry that starts while the platform is down opens a stream to
+//! other entries and sends [`PeerRequest`]. An agent opens a stream for each [`LoadSlotRequest`].
+//! The first frame of every such stream is an [`Opening`], so that one listener serves all kinds.
 
 use serde::{
     Deserialize,
@@ -27,46 +27,46 @@
     TierRank, //
 };
 
-/// The first frame of a stream that is not a request's.
+/// The first frame of a stream that carries no request of a client.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Opening {
     /// An agent's control stream.
     Agent(Hello),
-    /// One entry asks another.
+    /// A query of one entry to another.
     Peer(PeerRequest),
-    /// An agent asks for a turn at the weight store.
+    /// An agent's request for a load slot at the weight store.
     #[serde(rename = "Turn")]
     LoadSlot(LoadSlotRequest),
 }
 
-/// An agent asks the weight store's home entry for a turn.
+/// An agent's request for a load slot at the weight store.
 ///
-/// The home is the first entry by rendezvous hash of [`LOAD_SLOT_OWNER_KEY`]. The entry answers
-/// [`LoadSlotReply::Queued`] at once and [`LoadSlotReply::Granted`] when the load may start. The agent
-/// keeps the stream open until the load has ended: the end of the stream, or of its link, gives
-/// the turn back. An agent that gets no `Queued` within a second loads without a turn: two homes,
-/// or none, for a while cost speed only.
+/// The owner of the slots is the first entry by rendezvous hash of [`LOAD_SLOT_OWNER_KEY`]. It
+/// replies with [`LoadSlotReply::Queued`] at once and with [`LoadSlotReply::Granted`] when the load
+/// may start. The agent keeps the stream open until the load has ended; the end of the stream or of
+/// its link releases the slot. An agent that receives no `Queued` within a second loads without a
+/// slot, since a time with two owners or none costs only speed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LoadSlotRequest {
-    /// The best tier that waits for the load.
+    /// The highest-ranking tier that waits for the load.
     pub rank: TierRank,
-    /// Time left until the earliest deadline that waits, in milliseconds.
+    /// Time until the earliest deadline of the requests that wait for the load, in milliseconds.
     pub time_left_ms: u32,
 }
 
-/// The key whose rendezvous hash names the home of the weight store's turns.
+/// The key whose rendezvous hash selects the entry that owns the weight store's load slots.
 pub const LOAD_SLOT_OWNER_KEY: &str = "weight-store";
 
-/// From the home of the weight store's turns to an agent.
+/// Replies of the owner of the load slots to an agent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum LoadSlotReply {
-    /// The request waits for its turn.
+    /// The request waits for a slot.
     Queued,
     /// The load may start.
     Granted,
 }
 
-/// An agent introduces itself on a new control stream.
+/// Identifies an agent on a new control stream.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Hello {
     /// The agent's target.
@@ -75,89 +75,93 @@
     pub incarnation: FencingToken,
     /// The target's data centre.
     pub data_centre: DataCentre,
-    /// Shard versions that the agent has seen; the entry sends what is newer.
+    /// The shard versions in force at the agent; the entry sends newer ones.
     pub shards: Vec<(ShardId, u64)>,
     /// The configuration version in force at the agent.
     pub config: ConfigVersion,
 }
 
-/// From the agent to the entry, after [`Hello`].
+/// Messages from the agent to the entry, after [`Hello`].
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum AgentControl {
-    /// An assignment is in force here.
+    /// An assignment is in force at the agent.
     InForce {
         /// The configuration version of that assignment.
         config: ConfigVersion,
     },
-    /// The engine surely holds none of these models any more and the agent will not load them
-    /// under these grants again.
+    /// The engine has verifiably unloaded the models of these grants, and the agent will not
+    /// load them under these grants again.
     Released {
-        /// The revoked grants that are given back.
+        /// The revoked grants that the agent releases.
         grants: Vec<(ShardId, GrantId)>,
     },
     /// Requests wait for these granted models, and the engine's memory is full of models that are
-    /// in use. The list is complete; what an earlier one named and this one does not has room.
+    /// in use. The list replaces the previous one: a grant that is no longer in it is no longer
+    /// under memory pressure.
     #[serde(rename = "Crowded")]
     MemoryPressure {
-        /// The grants whose models find no room.
+        /// The grants whose models do not fit.
         grants: Vec<(ShardId, GrantId)>,
     },
-    /// The agent is leaving: offer it nothing more.
+    /// The agent is draining and refuses new offers.
     Leaving,
 }
 
-/// From the entry to the agent.
+/// Messages from the entry to the agent.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum EntryControl {
-    /// What the agent may hold.
+    /// The grants and configuration of the agent.
     Assignment(Assignment),
-    /// The live entries of the agent's data centre and others, for its second link.
+    /// The live entries of the agent's and other data centres, among which it chooses its links.
     Entries {
         /// Sorted by name.
         entries: Vec<EntryAddress>,
     },
-    /// What the platform's list says of the agent's VM, as one entry knows it.
+    /// The state of the agent's VM on the platform's list, as known to this entry.
     Vm(VmNotice),
 }
 
-/// What the platform's list says of an agent's VM.
+/// The state of an agent's VM on the platform's list.
 ///
-/// 12,000 agents cannot watch the list themselves. An entry that is cut off from the platform goes
-/// on to offer work to a VM that is leaving, so the agent has to refuse it, and hears from its
-/// other entry that it is leaving.
+/// The platform cannot serve a watch of the list to each of 12,000 agents. An entry that is cut off
+/// from the platform keeps offering work to a VM that is leaving; the agent refuses that work
+/// because its other entry forwards the state of the VM.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct VmNotice {
-    /// The platform's version of the VM's line; the agent goes by the highest.
+    /// The platform's version of the VM's record; the agent applies only a higher one.
     pub version: u64,
-    /// Whether the VM is leaving.
+    /// Whether the VM is listed as leaving.
     pub is_leaving: bool,
 }
 
-/// Where an entry listens for links.
+/// The address at which an entry listens for links.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EntryAddress {
     /// The entry.
     pub name: EntryName,
     /// The entry's data centre.
     pub data_centre: DataCentre,
-    /// IP and port for links.
+    /// IP address and port for links.
     pub link: std::net::SocketAddr,
 }
 
-/// What one agent may hold, as one entry knows it. Every version in it only rises at the agent.
+/// The grants and the configuration of one agent, as known to one entry.
+///
+/// Entries may lag, so the agent applies the configuration and each shard only with a higher
+/// version than the one in force.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Assignment {
-    /// The configuration that this was derived from.
+    /// The configuration from which the assignment was derived.
     pub config: ConfigVersion,
-    /// Tiers, by rank.
+    /// Tiers, sorted by rank.
     pub tiers: Vec<Tier>,
-    /// Weights of the decisions.
+    /// Settings of the scheduling decisions.
     pub policy: Policy,
-    /// The plain service that the target is, if it is one.
+    /// The plain service of the target; none for an engine.
     pub service: Option<Service>,
     /// Shards in which the target has, or had, a grant.
     pub shards: Vec<ShardAssignment>,
-    /// The declared models that the grants name, sorted by name.
+    /// The declarations of the granted models, sorted by name.
     pub models: Vec<Model>,
 }
 
@@ -172,21 +176,22 @@
     pub grants: Vec<AssignedGrant>,
 }
 
-/// One grant as the agent sees it.
+/// One grant of the agent's target.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AssignedGrant {
     /// The grant.
     pub id: GrantId,
-    /// The model that may be held.
+    /// The model that the target may load.
     pub model: ModelName,
-    /// The agent unloads the model and reports [`AgentControl::Released`].
+    /// Whether the grant is being revoked: the agent unloads the model and reports
+    /// [`AgentControl::Released`].
     pub revoking: bool,
 }
 
-/// One entry asks another, when the platform does not answer.
+/// A query of an entry to another entry while the platform is unavailable.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum PeerRequest {
-    /// Asks for everything the peer knows of the platform's objects. The answer is one body frame
-    /// with the JSON of `stair_platform::Snapshot`.
+    /// Requests the peer's copy of the platform's objects. The reply is one body frame with the
+    /// JSON of `stair_platform::Snapshot`.
     Snapshot,
 }
--- a/crates/stair-wire/src/frame.rs
+++ b/crates/stair-wire/src/frame.rs
@@ -1,8 +1,8 @@
 //! Length-delimited frames.
 //!
-//! A frame is a four-byte big-endian length, a one-byte tag and that many bytes: a message in
-//! postcard, or raw body bytes. The length is checked against the reader's limit before any memory
-//! is set aside, so a hostile peer cannot make a process allocate.
+//! A frame is a four-byte big-endian length, a one-byte tag and a payload of that length: a message
+//! in postcard, or raw body bytes. The length is checked against the reader's limit before any
+//! memory is allocated, so a hostile peer cannot exhaust a process's memory.
 
 use bytes::{
     Bytes,
@@ -19,7 +19,7 @@
     AsyncWriteExt, //
 };
 
-/// Longest message, in bytes. A snapshot of a peer travels as a body.
+/// Longest message, in bytes. A peer's snapshot may be longer and is sent as a body.
 pub const MAX_MESSAGE_BYTES: usize = 4 << 20;
 
 /// Longest body frame, in bytes.
@@ -29,7 +29,7 @@
 const TAG_MESSAGE: u8 = 0;
 const TAG_BODY: u8 = 1;
 
-/// Why a frame could not be read or written.
+/// Errors of reading and writing frames.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
     /// The stream failed.
@@ -38,26 +38,26 @@
     /// The frame is longer than the limit.
     #[error("a frame of {found} bytes exceeds the limit of {limit}")]
     TooLong {
-        /// The length announced.
+        /// The announced length, in bytes.
         found: usize,
-        /// The reader's limit.
+        /// The limit for this kind of frame, in bytes.
         limit: usize,
     },
-    /// The tag is neither a message's nor a body's.
+    /// The tag denotes neither a message nor a body.
     #[error("unknown frame tag {0}")]
     BadTag(u8),
     /// The message does not decode.
     #[error("a message does not decode: {0}")]
     Decode(#[from] postcard::Error),
-    /// A message came where a body was due, or the reverse.
-    #[error("a frame of the wrong kind came")]
+    /// A message arrived in place of a body, or a body in place of a message.
+    #[error("a frame of the wrong kind arrived")]
     WrongKind,
 }
 
-/// One frame.
+/// The payload of one frame.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Frame<M> {
-    /// A decoded message.
+    /// A message, decoded.
     Message(M),
     /// Raw bytes.
     Body(Bytes),
@@ -111,7 +111,8 @@
 ///
 /// # Errors
 ///
-/// Fails when the stream ends or fails, when the frame exceeds its limit, or does not decode.
+/// Fails when the stream ends or fails, when the frame exceeds its limit, has an unknown tag, or
+/// does not decode.
 pub async fn read<R, M>(r: &mut R) -> Result<Frame<M>, Error>
 where
     R: AsyncRead + Unpin,
@@ -135,7 +136,7 @@
     }
 }
 
-/// Reads a frame that has to be a message.
+/// Reads a frame that must be a message.
 ///
 /// # Errors
 ///
@@ -151,7 +152,7 @@
     }
 }
 
-/// Reads a frame that has to be a body.
+/// Reads a frame that must be a body.
 ///
 /// # Errors
 ///
@@ -167,8 +168,8 @@
     }
 }
 
-/// Memory grows with the bytes that have arrived, not with the length that was announced: a peer
-/// that announces 32 MiB and sends nothing costs one small buffer.
+/// Reads a payload. The buffer grows with the bytes received and not with the announced length: a
+/// peer that announces 32 MiB and sends nothing costs one small buffer.
 async fn read_bytes<R>(r: &mut R, len: usize) -> Result<Bytes, Error>
 where
     R: AsyncRead + Unpin,
--- a/crates/stair-wire/src/request.rs
+++ b/crates/stair-wire/src/request.rs
@@ -1,11 +1,13 @@
 //! One request, on one bidirectional stream that the entry opens.
 //!
 //! The first frame of the entry is [`ToAgent::Offer`], followed by one body frame with the
-//! request's body; or it is [`ToAgent::Resume`] or [`ToAgent::Withdraw`]. The agent answers [`FromAgent::Queued`] at once,
-//! later [`FromAgent::Ready`], and after [`ToAgent::Start`] the answer: [`FromAgent::Head`], body
-//! frames, [`FromAgent::End`]. [`FromAgent::Refused`] may come instead of any of these and is
-//! final. Until `Start` arrives the agent runs nothing, so an offer whose link broke before
-//! `Start` was sent has surely not run.
+//! request's body; or it is [`ToAgent::Resume`] or [`ToAgent::Withdraw`]. To an offer the agent
+//! replies with [`FromAgent::Queued`] at once, with [`FromAgent::Ready`] later, and after
+//! [`ToAgent::Start`] with the response: [`FromAgent::Head`], body frames, [`FromAgent::End`].
+//! [`FromAgent::Refused`] may replace any of these and is final.
+//!
+//! The agent runs nothing before `Start` arrives, so an offer whose link broke before `Start` was
+//! sent has certainly not run. Only [`Offer::start_when_ready`] waives this.
 
 use serde::{
     Deserialize,
@@ -21,14 +23,14 @@
     TierRank, //
 };
 
-/// What a request is for.
+/// The kind of work that a request asks for.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Work {
     /// An inference on an engine.
     Model {
         /// The base model.
         model: ModelName,
-        /// The adapter on it, if any.
+        /// The adapter on the base model, if any.
         adapter: Option<AdapterName>,
     },
     /// A call of a plain service.
@@ -38,21 +40,21 @@
     },
 }
 
-/// A header that passes through unchanged.
+/// An HTTP header that is forwarded unchanged.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Header {
-    /// Lower-case name.
+    /// The name, in lower case.
     pub name: Box<str>,
-    /// Visible ASCII.
+    /// The value, in visible ASCII.
     pub value: Box<str>,
 }
 
 /// Offers a request to an agent. The body follows in one body frame.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Offer {
-    /// The request; an agent runs an id at most once.
+    /// The request's id; an agent runs an id at most once.
     pub id: RequestId,
-    /// What it is for.
+    /// The requested work.
     pub work: Work,
     /// HTTP method at the target.
     pub method: Box<str>,
@@ -60,61 +62,64 @@
     pub path: Box<str>,
     /// The body's media type.
     pub content_type: Box<str>,
-    /// The caller's other headers, but for those of the connection, its key and the project's own.
+    /// The caller's other headers, without those of the connection, the caller's key and
+    /// dandelionstair's own headers.
     pub headers: Vec<Header>,
-    /// The version of the model's shard of grants by which the target was chosen; 0 for services.
-    /// An agent that knows an older one waits for its assignment before it says that it holds no
-    /// grant: the entry may learn of a new grant before the agent does.
+    /// The version of the model's grant shard by which the entry chose the target; 0 for services.
+    /// The entry may receive a new grant before the agent does, so an agent with an older version
+    /// waits for its assignment before it refuses the offer as not granted.
     pub shard_version: u64,
     /// The caller's tier.
     pub rank: TierRank,
-    /// Time left until the deadline when this was sent, in milliseconds. Clocks of different VMs
-    /// are never compared.
+    /// Time left until the deadline when the offer was sent, in milliseconds. It is relative
+    /// because the clocks of different VMs are never compared.
     pub time_left_ms: u32,
-    /// Whether it may run twice.
+    /// Whether the request may run more than once.
     pub repeatable: bool,
-    /// Whether the agent may start without [`ToAgent::Start`]; only for repeatable work.
+    /// Whether the agent may start the request without [`ToAgent::Start`]; only for repeatable
+    /// requests.
     pub start_when_ready: bool,
-    /// Tokens the caller asks for at most, or 0 when unknown; for the expected run time.
+    /// The caller's limit on generated tokens, or 0 when unknown; an input to the expected run
+    /// time.
     pub max_tokens: u32,
-    /// Bytes in the body frame that follows.
+    /// Length of the body frame that follows, in bytes.
     pub body_bytes: u32,
 }
 
-/// From the entry to the agent.
+/// Messages from the entry to the agent.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ToAgent {
     /// Opens the stream with a new request.
     Offer(Offer),
-    /// Lets the offered request run. Sent to exactly one agent, once.
+    /// Starts the offered request. Sent to exactly one agent, once.
     Start,
-    /// Withdraws the request: it does not start, or its run is cancelled.
+    /// Withdraws the request if it has not started, and cancels its run otherwise.
     Cancel,
-    /// Opens a stream to take up a started request again after its link broke.
+    /// Opens a stream to resume the response of a started request after its link broke.
     Resume {
         /// The request.
         id: RequestId,
-        /// Body bytes of the answer already received.
+        /// Body bytes of the response that the entry has already received.
         offset: u64,
-        /// The incarnation that the request was started at.
+        /// The agent's incarnation at which the request was started.
         incarnation: FencingToken,
     },
-    /// Opens a stream to make sure that a request of another entry never starts. The agent answers
-    /// [`FromAgent::Refused`] and says whether it may have run.
+    /// Opens a stream to ensure that a request of another entry never starts. The agent replies
+    /// with [`FromAgent::Refused`], whose verdict states whether the request may have run.
     Withdraw {
         /// The request.
         id: RequestId,
-        /// The incarnation that it was offered to.
+        /// The agent's incarnation to which the request was offered.
         incarnation: FencingToken,
     },
 }
 
-/// The load of an agent, carried by its replies; there is no separate load report.
+/// The load of an agent. Its replies carry the load; there is no separate load report.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Load {
     /// Requests running at the target.
     pub running: u16,
-    /// Requests waiting in the agent.
+    /// Requests waiting in the agent's queue.
     pub waiting: u16,
     /// Expected wait of a new request of the lowest tier, in milliseconds.
     pub expected_wait_ms: u32,
@@ -122,41 +127,42 @@
     pub model_loaded: bool,
 }
 
-/// From the agent to the entry.
+/// Messages from the agent to the entry.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum FromAgent {
-    /// The offer is queued here.
+    /// The offer is queued at the agent.
     Queued {
-        /// The agent's incarnation, for a later resume.
+        /// The agent's incarnation, which a later resume has to name.
         incarnation: FencingToken,
         /// The agent's load.
         load: Load,
     },
-    /// The request can run now; waits for [`ToAgent::Start`] for a short while.
+    /// The request holds a slot of the target. The agent refuses it unless [`ToAgent::Start`]
+    /// follows within a short timeout.
     Ready,
-    /// The target's answer begins.
+    /// The head of the target's response.
     Head {
-        /// HTTP status of the target.
+        /// HTTP status of the response.
         status: u16,
-        /// The answer's media type.
+        /// The response's media type.
         content_type: Box<str>,
-        /// The answer's other headers, but for those of the connection.
+        /// The response's other headers, without those of the connection.
         headers: Vec<Header>,
-        /// The offset of the body byte that comes next: 0, or the offset of a resume.
+        /// The offset of the first body byte that follows: 0, or the offset of a resume.
         offset: u64,
     },
-    /// The answer is complete.
+    /// The response is complete.
     End {
-        /// Bytes of the whole answer's body.
+        /// Length of the whole response's body, in bytes.
         total_bytes: u64,
-        /// Time from start to end at the target, in milliseconds.
+        /// Duration of the run at the target, in milliseconds.
         run_ms: u32,
         /// The agent's load.
         load: Load,
     },
-    /// The request is given up on.
+    /// The agent does not serve the request.
     Refused {
-        /// Why, and whether it may have run.
+        /// The reason, and whether the request may have run.
         refusal: Refusal,
         /// The agent's load.
         load: Load,
--- a/crates/stair-wire/tests/random_bytes.rs
+++ b/crates/stair-wire/tests/random_bytes.rs
@@ -1,4 +1,4 @@
-//! Whatever a peer sends, decoding it ends with a value or an error.
+//! Decoding arbitrary input from a peer returns a value or an error, and never panics.
 
 use proptest::{
     prelude::*,
@@ -29,7 +29,7 @@
     },
 };
 
-/// Decodes the bytes as every kind of message, and as a body.
+/// Decodes the bytes as each type of message, and as a body.
 async fn decode_as_all(bytes: &[u8]) {
     let _ = frame::read::<_, ToAgent>(&mut &bytes[..]).await;
     let _ = frame::read::<_, FromAgent>(&mut &bytes[..]).await;
@@ -81,14 +81,14 @@
         block_on(decode_as_all(&bytes));
     }
 
-    // The frame is right and its content is not.
+    // The frame is valid and its content is random.
     #[test]
     fn any_content(content in prop::collection::vec(any::<u8>(), 0..400), tag in 0..3_u8) {
         block_on(decode_as_all(&framed(&content, tag)));
     }
 
-    // Lengths inside a message are the first thing that a hostile peer lies about. If they decided
-    // how much memory is set aside, one frame would end the process.
+    // A hostile peer announces huge lengths inside a message. If the decoder allocated memory by
+    // them, one frame would exhaust the process's memory.
     #[test]
     fn huge_inner_lengths(start in 0..8_u8, rest in prop::collection::vec(128..=255_u8, 1..12)) {
         let mut content = vec![start];
@@ -106,7 +106,7 @@
         block_on(decode_as_all(&bytes));
     }
 
-    // A frame that announces more than allowed is refused by its header alone.
+    // A frame whose announced length exceeds the limit is refused on its header alone.
     #[test]
     fn long_announced(len in any::<u32>(), tag in 0..2_u8) {
         let limit = match tag {
