--- a/crates/stair-agent/src/admit.rs
+++ b/crates/stair-agent/src/admit.rs
@@ -1,4 +1,4 @@
-//! Which requests wait for a slot of the target, and which are refused at once.
+//! Admission: which requests wait for a slot of the target, and which are refused at once.
 
 use std::time::Duration;
 
@@ -40,14 +40,15 @@
     },
 };
 
-/// When a caller may come back to another target after this one refused for good.
+/// Retry delay of a refusal after which another target has to serve the request, in milliseconds.
 pub(crate) const RETRY_ELSEWHERE_MS: u32 = 100;
 
 impl Core {
     /// Queues an offer or refuses it at once.
     ///
-    /// Under load a request that cannot finish in time would take a slot from one that can, and
-    /// its caller would wait for nothing; so it is refused while another target may still take it.
+    /// A request that cannot finish before its deadline is refused immediately, while another
+    /// target may still serve it. Under load it would otherwise take a slot from a request that can
+    /// finish, and its caller would wait in vain.
     pub(crate) fn admit(
         &mut self,
         offer: Box<Offer>,
@@ -56,7 +57,8 @@
     ) {
         let (now, id) = (self.now(), offer.id);
         if !self.runs.offer(now, id) {
-            let refusal = Refusal::may_have_run(Reason::Duplicate, 0, "offered before");
+            let refusal =
+                Refusal::may_have_run(Reason::Duplicate, 0, "the request was offered before");
             let _ = events.send(OfferEvent::Refused(refusal, self.load(None)));
             return;
         }
@@ -79,6 +81,7 @@
         }
     }
 
+    /// Returns the item that a request needs, none for a plain service, or its refusal.
     fn item_of(&self, work: &Work) -> Result<Option<Item>, Refusal> {
         let not_granted = |message: &str| {
             let reason = Reason::NotGranted;
@@ -116,7 +119,7 @@
         match self.queue.push(now, waiting, &est) {
             Outcome::Queued { displaced } => {
                 if let Some(id) = displaced {
-                    let message = "work of a higher tier took the place";
+                    let message = "a request of a higher tier displaced this one";
                     self.refuse_later(id, Reason::Displaced, message);
                 }
                 self.record_arrival(unstarted.key);
@@ -157,11 +160,11 @@
         }
     }
 
-    /// Loads a model whose callers were refused because its load takes too long for them.
+    /// Queues a load of a model for which a request was refused because the load takes too long.
     ///
-    /// When all callers have less time than the load is expected to take, none would ever wait for
-    /// it, and an expectation that is wrong would never be put right. They find it loaded when
-    /// they come back.
+    /// When every request has less time left than the expected load time, none of them is queued.
+    /// Without this load the model would never be loaded, and a wrong estimate of its load time
+    /// never corrected. Callers that retry find the model loaded.
     fn queue_on_demand(&mut self, key: ModelKey, rank: TierRank) {
         let Some(item) = self.items.get(key).cloned() else {
             return;
@@ -171,7 +174,8 @@
         }
     }
 
-    /// Moves what waits into a queue with other bounds.
+    /// Moves the waiting requests into a queue with other limits, and refuses those that no longer
+    /// fit.
     pub(crate) fn rebuild_queue(&mut self, opts: Options) {
         let old = std::mem::replace(&mut self.queue, Queue::new(opts.clone()));
         self.queue_opts = opts;
@@ -190,7 +194,7 @@
         }
     }
 
-    /// Returns how many requests the target may run at once.
+    /// Returns the number of requests that the target may run at once.
     pub(crate) fn slots(&self) -> usize {
         let concurrency = match self.args.target {
             TargetSettings::Engine { .. } => self.in_force.policy().engine_concurrency,
@@ -217,14 +221,14 @@
         }
     }
 
-    /// Returns the wait of a new request of the lowest tier for a loaded model.
+    /// Returns the expected wait of a new request of the lowest tier for a loaded model.
     pub(crate) fn expected_wait(&self) -> Duration {
         let est = self.estimate(ModelKey(u32::MAX));
         self.queue
             .expected_wait(self.now(), TierRank(u8::MAX), &est)
     }
 
-    /// Returns the load as replies carry it.
+    /// Returns the agent's load for a reply; `item` is what the request needs.
     pub(crate) fn load(&self, item: Option<&Item>) -> Load {
         let wait = self.expected_wait();
         Load {
--- a/crates/stair-agent/src/assignment.rs
+++ b/crates/stair-agent/src/assignment.rs
@@ -1,7 +1,8 @@
-//! Which grants, models and weights are in force at the agent.
+//! The grants, models and settings in force at the agent.
 //!
-//! Several entries send assignments, and any of them may lag. Each shard is taken over only with a
-//! higher version than the one held, and everything else only with a higher configuration version.
+//! Several entries send assignments, and any of them may lag. Each shard is applied only with a
+//! higher version than the one in force, and everything else only with a higher configuration
+//! version.
 
 use stair_config::{
     Model,
@@ -22,7 +23,7 @@
     ShardAssignment, //
 };
 
-/// What is in force at one agent.
+/// The grants and the configuration in force at one agent.
 #[derive(Debug, Clone, Default)]
 pub struct InForce {
     config: ConfigVersion,
@@ -33,13 +34,15 @@
     models: Vec<Model>,
     /// Sorted by shard.
     shards: Vec<ShardAssignment>,
-    /// Grants that were given back; they never serve again. Sorted.
+    /// Released grants, which are never served again. Sorted.
     released: Vec<(ShardId, GrantId)>,
 }
 
 impl InForce {
-    /// Starts from the grants that the platform holds. They are the floors: without them an entry
-    /// that lags could give a restarted agent a grant that its predecessor gave back.
+    /// Creates the state from the grants read from the platform.
+    ///
+    /// Their shard versions are lower bounds. Without them an entry that lags could assign to a
+    /// restarted agent a grant that the agent's stale incarnation released.
     pub fn new(mut shards: Vec<ShardAssignment>) -> Self {
         shards.sort_by_key(|s| s.shard);
         Self {
@@ -48,7 +51,7 @@
         }
     }
 
-    /// Takes over what is newer and returns whether anything was.
+    /// Applies the newer parts of an assignment and returns whether there were any.
     pub fn apply(&mut self, new: Assignment) -> bool {
         let mut changed = self.apply_config(&new);
         for shard in new.shards {
@@ -70,7 +73,7 @@
             self.merge_models(&new.models);
             return true;
         }
-        // Entries that know different shards name different models of one configuration.
+        // Entries with different shard versions send different models of one configuration.
         let mut changed = false;
         for model in &new.models {
             if let Err(at) = self.models.binary_search_by(|m| m.name.cmp(&model.name)) {
@@ -81,11 +84,10 @@
         changed
     }
 
-    /// Takes over the specifications of a later configuration.
+    /// Applies the declarations of a newer configuration, and keeps the models that it lacks.
     ///
-    /// The entry that sends it may not know yet of a model that another entry's assignment
-    /// granted, and will not send it again when only others' models have changed since. So what
-    /// it does not name stays.
+    /// The sending entry may not have received a grant that another entry's assignment carried, and
+    /// it sends no further assignment when only other targets' models have changed since.
     fn merge_models(&mut self, new: &[Model]) {
         for model in new {
             match self.models.binary_search_by(|m| m.name.cmp(&model.name)) {
@@ -95,7 +97,7 @@
         }
     }
 
-    /// Forgets the specifications of models that no grant names.
+    /// Drops the declarations of models without a grant.
     fn drop_ungranted_models(&mut self) {
         let shards = &self.shards;
         self.models.retain(|m| {
@@ -123,7 +125,7 @@
         self.config
     }
 
-    /// Returns the weights of the decisions.
+    /// Returns the settings of the scheduling decisions.
     pub fn policy(&self) -> &Policy {
         &self.policy
     }
@@ -133,7 +135,7 @@
         &self.tiers
     }
 
-    /// Returns the plain service that the target is.
+    /// Returns the plain service of the target; none for an engine or before the first assignment.
     pub fn service(&self) -> Option<&Service> {
         self.service.as_ref()
     }
@@ -148,22 +150,22 @@
         self.shard(shard).map_or(0, |s| s.version)
     }
 
-    /// Returns the versions of the shards, for a greeting.
+    /// Returns the versions of the shards, as [`stair_wire::control::Hello`] lists them.
     pub fn versions(&self) -> Vec<(ShardId, u64)> {
         self.shards.iter().map(|s| (s.shard, s.version)).collect()
     }
 
-    /// Finds a model that may be held: declared, and under a grant that is not being revoked.
+    /// Finds a model that may be loaded: declared, and under a grant that is not being revoked.
     pub fn servable_model(&self, name: &ModelName) -> Option<&Model> {
         self.model(name).filter(|_| self.is_granted(name))
     }
 
-    /// Tells whether a grant of a model is in force, whether or not the model is declared.
+    /// Returns whether a grant of the model is in force, whether or not the model is declared.
     pub fn is_granted(&self, name: &ModelName) -> bool {
         self.grant_of(name).is_some()
     }
 
-    /// Returns the grant of a model that is in force.
+    /// Returns the grant of the model that is neither being revoked nor released.
     pub fn grant_of(&self, name: &ModelName) -> Option<(ShardId, GrantId)> {
         let shard = self.shard(shard_of(name))?;
         let mut granted = shard.grants.iter().filter(|g| g.model == *name);
@@ -185,7 +187,7 @@
         })
     }
 
-    /// Notes that a grant was given back. Returns whether that is new.
+    /// Records that a grant was released. Returns whether it was not recorded before.
     pub fn release(&mut self, shard: ShardId, grant: GrantId) -> bool {
         match self.released.binary_search(&(shard, grant)) {
             Ok(_) => false,
@@ -196,7 +198,7 @@
         }
     }
 
-    /// Returns the grants that were given back and are still listed.
+    /// Returns the released grants that the shards still list.
     pub fn released(&self) -> &[(ShardId, GrantId)] {
         &self.released
     }
--- a/crates/stair-agent/src/bootstrap.rs
+++ b/crates/stair-agent/src/bootstrap.rs
@@ -1,4 +1,4 @@
-//! What an agent reads from the platform once, at its start.
+//! Reads of the platform's objects at the agent's start: its grants and the live entries.
 
 use serde::de::DeserializeOwned;
 use stair_platform::{
@@ -25,7 +25,7 @@
 
 use crate::incarnation::Backoff;
 
-/// Reads the shards' versions and the target's grants.
+/// Reads the shards' versions and the target's grants. Retries until the platform replies.
 pub(crate) async fn list_grants<S>(store: &S, target: &TargetName) -> Vec<ShardAssignment>
 where
     S: ObjectStore,
@@ -35,7 +35,7 @@
     shards.collect()
 }
 
-/// Reads the live entries.
+/// Reads the live entries, sorted by name. Retries until the platform replies.
 pub(crate) async fn list_entries<S>(store: &S) -> Vec<EntryAddress>
 where
     S: ObjectStore,
--- a/crates/stair-agent/src/control.rs
+++ b/crates/stair-agent/src/control.rs
@@ -1,7 +1,8 @@
-//! The actor that decides: what waits, what may run, what the engine is ordered to do.
+//! The control actor, which owns the agent's state and makes its decisions: which requests wait,
+//! which run, and which orders the engine receives.
 //!
-//! It runs on a thread of its own, does no I/O in its decisions, and gives every order to a task
-//! that reports back with a message.
+//! The actor runs on its own thread, and its decisions do no I/O. A task sends each order and
+//! returns the outcome with a message.
 
 use std::{
     collections::VecDeque,
@@ -69,21 +70,21 @@
     },
 };
 
-/// Time between the control's own ticks.
+/// Interval between ticks of the control actor.
 const TICK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// A process that was paused finds a gap between its ticks. Meanwhile another agent may have
-/// ordered the engine, so its list is read before the next order. A busy machine delays ticks by
-/// less than this.
+/// A longer gap between two messages means that the process was paused. Another agent may have sent
+/// orders to the engine meanwhile, so the inventory is read before the next order. A busy VM delays
+/// ticks by less than this.
 const PAUSE_THRESHOLD: Duration = Duration::from_secs(1);
 
-/// The incarnation that no other agent came before.
+/// The incarnation of a target's first agent.
 const FIRST_INCARNATION: FencingToken = FencingToken(1);
 
-/// The actor.
+/// The control actor.
 pub(crate) struct Control;
 
-/// An offer that has not started.
+/// An admitted offer whose run has not started.
 pub(crate) struct Unstarted {
     pub(crate) offer: Box<Offer>,
     pub(crate) key: ModelKey,
@@ -92,7 +93,7 @@
     pub(crate) events: mpsc::UnboundedSender<OfferEvent>,
 }
 
-/// A request that holds a slot of the target.
+/// A request that occupies a slot of the target.
 pub(crate) struct Active {
     pub(crate) id: RequestId,
     pub(crate) key: ModelKey,
@@ -102,20 +103,20 @@
     pub(crate) started: bool,
 }
 
-/// A whole answer that is kept for a resume.
+/// The response of an ended run, which stays buffered for a resume.
 pub(crate) struct BufferedResponse {
     pub(crate) id: RequestId,
     pub(crate) bytes: u64,
 }
 
-/// A load that failed and is not tried again yet.
+/// A failed load, which is not retried before `retry_at`.
 pub(crate) struct Failure {
     pub(crate) item: Item,
     pub(crate) count: u32,
     pub(crate) retry_at: Duration,
 }
 
-/// The state of the control thread.
+/// The state of the control actor.
 pub(crate) struct Core {
     pub(crate) me: ActorRef<Msg>,
     pub(crate) args: Arguments,
@@ -126,42 +127,48 @@
     pub(crate) queue: Queue<RequestId>,
     pub(crate) queue_opts: Options,
     pub(crate) items: Items,
-    /// Sorted by id.
+    /// Requests that wait in the queue or for `Start`. Sorted by id.
     pub(crate) unstarted: Vec<Unstarted>,
+    /// Requests that occupy a slot.
     pub(crate) active: Vec<Active>,
+    /// Offers that wait for their assignment.
     pub(crate) pending_offers: Vec<PendingOffer>,
     pub(crate) memory_pressure: Vec<MemoryPressure>,
     pub(crate) responses: ById<Arc<Response>>,
-    /// Counts the answers that are being read.
+    /// Counts the responses that are being read.
     pub(crate) readers: ReaderCount,
-    /// Whole answers, the oldest first.
+    /// Responses of ended runs, the oldest first.
     pub(crate) buffered: VecDeque<BufferedResponse>,
-    /// Bytes of all whole answers.
+    /// Bytes of all responses of ended runs.
     pub(crate) buffered_bytes: u64,
-    /// Sorted by item.
+    /// Time of the last use of each item. Sorted by item.
     pub(crate) last_used: Vec<(Item, Duration)>,
     pub(crate) failures: Vec<Failure>,
-    /// Loads under way, with their beginning.
+    /// Loads in progress, with their start times.
     pub(crate) loading: Vec<(Item, Duration)>,
     pub(crate) keep_alive: Keep,
-    /// When metrics were last sent.
+    /// When metrics were last emitted.
     pub(crate) metrics_emitted: Duration,
-    /// Models whose callers were refused because the load takes too long, with their tier.
+    /// Items to load on demand, whose requests were refused because the load takes too long, with
+    /// the tiers of these requests.
     pub(crate) on_demand: Vec<(Item, TierRank)>,
-    /// Orders whose answers are awaited.
+    /// Number of orders that wait for a reply.
     pub(crate) orders: usize,
+    /// A request for the engine's inventory is in progress.
     pub(crate) listing: bool,
-    /// The engine's list has to be read before the next order.
+    /// The engine's inventory has to be read before the next order.
     pub(crate) relist: bool,
-    /// Orders that may take effect although they were given up.
+    /// Orders without a reply, which may still take effect.
     pub(crate) unconfirmed: UnconfirmedOrders,
-    /// Since when the engine has not answered when it was asked for its list.
+    /// Since when the engine has not replied to requests for its inventory.
     pub(crate) unresponsive_since: Option<Duration>,
-    /// The planned stop has begun.
+    /// The graceful stop has begun.
     pub(crate) draining: bool,
-    /// What the platform's list says of this VM.
+    /// The state of this VM on the platform's list.
     pub(crate) vm: VmNotice,
+    /// Loads ordered since the start.
     pub(crate) loads: u64,
+    /// When the last message was handled.
     pub(crate) last_message: Duration,
 }
 
@@ -257,7 +264,11 @@
     fn notice_pause(&mut self) {
         let now = self.now();
         if now - self.last_message > PAUSE_THRESHOLD {
-            stair_telemetry::warn!(Part::Agent, "was paused for {:?}", now - self.last_message);
+            stair_telemetry::warn!(
+                Part::Agent,
+                "the process was paused for {:?}",
+                now - self.last_message
+            );
             self.relist = self.args.engine.is_some();
         }
         self.last_message = now;
@@ -307,7 +318,7 @@
         }
     }
 
-    /// Does everything that the present state allows.
+    /// Takes every decision that the current state allows.
     fn advance(&mut self) {
         self.retry_pending_offers();
         self.expire();
@@ -337,14 +348,14 @@
         }
     }
 
-    /// Stops taking work. What runs goes on to its end.
+    /// Refuses all requests that have not started and all new ones. Started runs continue.
     pub(crate) fn start_draining(&mut self) {
         self.draining = true;
         self.refuse_all_draining();
     }
 
-    /// Takes no more work while the VM is listed as leaving. Of what the entries say the latest
-    /// counts, since any of them may lag.
+    /// Applies a newer state of the VM and refuses work while the VM is listed as leaving. Entries
+    /// may lag, so a notice with a lower version is ignored.
     fn apply_vm_notice(&mut self, notice: VmNotice) {
         if notice.version <= self.vm.version {
             return;
@@ -356,15 +367,15 @@
         }
     }
 
-    /// Tells whether new work is refused.
+    /// Returns whether new work is refused.
     pub(crate) fn refuses_work(&self) -> bool {
         self.draining || self.vm.is_leaving
     }
 
-    /// A later agent of this target has ordered the engine: orders of this one would break what
-    /// the other relies on.
+    /// Stops the agent because a newer incarnation has sent orders to the engine. Further orders of
+    /// this one would invalidate the newer agent's ledger.
     pub(crate) fn stop_superseded(&mut self) {
-        let why = "a later agent of the target has taken over the engine";
+        let why = "a newer agent of the target controls the engine";
         self.args.published.fatal.send_replace(Some(why.into()));
         self.start_draining();
     }
--- a/crates/stair-agent/src/control_links.rs
+++ b/crates/stair-agent/src/control_links.rs
@@ -1,4 +1,4 @@
-//! The agent's links to two entries, which bring its assignment and take its statements.
+//! The agent's control links to two entries, which send its assignment and receive its reports.
 
 use std::{
     sync::{
@@ -55,22 +55,23 @@
     },
 };
 
-/// Links an agent keeps: one may break while a configuration change is under way.
+/// Control links of an agent. With two, one may break during a configuration change.
 const LINK_COUNT: usize = 2;
 
-/// An entry that could not be reached is passed over for this time when there are others.
+/// Time for which an entry whose link failed is avoided when there are others.
 const AVOID_DURATION: Duration = Duration::from_secs(5);
 
-/// A link that lived so long counts as good, and the next try comes soon.
+/// A link that lasted longer was stable, and its slot reconnects with the shortest backoff.
 const STABLE_LINK_DURATION: Duration = Duration::from_secs(10);
 
-/// A release that the entry could not write is said again after this time.
+/// Interval at which released grants are reported again, since an entry may have failed to write a
+/// release.
 const RELEASE_REPEAT_INTERVAL: Duration = Duration::from_secs(5);
 
-/// Time for what was said last to arrive, when the agent ends.
+/// Time for the last report to be acknowledged when the agent stops.
 const FINAL_REPORT_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// What the links need.
+/// The context shared by the links.
 #[derive(Clone)]
 pub(crate) struct Context {
     pub(crate) target: TargetName,
@@ -81,7 +82,7 @@
     pub(crate) report: watch::Receiver<AgentReport>,
     pub(crate) entries: watch::Sender<Vec<EntryAddress>>,
     pub(crate) linked: watch::Sender<Vec<EntryName>>,
-    /// The agent ends: the links say what is left to say and close.
+    /// Turns true when the agent stops: the links send a last report and close.
     pub(crate) closing: watch::Sender<bool>,
     slots: Arc<Mutex<LinkSlots>>,
 }
@@ -119,7 +120,8 @@
         self.slots.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Returns the entries, best first: those of the own data centre, by rendezvous hash.
+    /// Returns the entries in order of preference: those of the agent's data centre first, and by
+    /// rendezvous hash within each group.
     fn ranked(&self) -> Vec<EntryAddress> {
         let entries = self.entries.borrow().clone();
         let names = entries.iter().map(|e| e.name.as_str());
@@ -133,6 +135,8 @@
             .collect()
     }
 
+    /// Reserves for a slot the preferred entry that no other slot uses and that has not failed
+    /// recently, or a recently failed one when there is no other.
     fn choose(&self, slot: usize) -> Option<EntryAddress> {
         let ranked = self.ranked();
         let mut slots = self.slots();
@@ -152,6 +156,7 @@
         best
     }
 
+    /// Frees a slot and records that its entry failed.
     fn mark_failed(&self, slot: usize, name: &EntryName) {
         let mut slots = self.slots();
         slots.taken[slot] = None;
@@ -159,7 +164,7 @@
     }
 }
 
-/// Keeps the links until the agent ends.
+/// Maintains the links until the agent stops.
 pub(crate) async fn run(cx: Context) {
     let mut tasks = tokio::task::JoinSet::new();
     for slot in 0..LINK_COUNT {
@@ -198,8 +203,13 @@
         linked.len() != before
     });
     match result {
-        Err(e) if was_linked => info!(Part::Links, "The link to {} ended: {e}.", entry.name),
-        Err(e) => debug!(Part::Links, "No link to {}: {e}.", entry.name),
+        Err(e) if was_linked => {
+            info!(Part::Links, "the control link to {} ended: {e}", entry.name);
+        }
+        Err(e) => debug!(
+            Part::Links,
+            "cannot open a control link to {}: {e}", entry.name
+        ),
         Ok(()) => {}
     }
 }
@@ -247,7 +257,8 @@
                 Some(EntryControl::Assignment(assignment)) => {
                     cx.control.send_message(Msg::Assign(Box::new(assignment)))?;
                 }
-                // An entry whose list lacks itself leaves, or has just started and knows no more.
+                // An entry that is missing from its own list is shutting down, or has just
+                // started and has no complete list.
                 Some(EntryControl::Entries { entries })
                     if entries.iter().all(|e| e.name != entry.name) => {}
                 Some(EntryControl::Entries { entries }) => {
@@ -260,7 +271,7 @@
                 Some(EntryControl::Vm(notice)) => {
                     cx.control.send_message(Msg::Vm(notice))?;
                 }
-                None => anyhow::bail!("the entry closed it"),
+                None => anyhow::bail!("the entry closed the control stream"),
             },
             changed = report.changed() => {
                 changed?;
@@ -277,7 +288,7 @@
     }
 }
 
-/// Sends what the entry has not been told on this link.
+/// Sends the differences between the report sent last on this link and the current one.
 async fn send_changes(
     tx: &mut SendStream,
     sent: &AgentReport,
@@ -294,8 +305,8 @@
         let config = now.config;
         frame::write_message(tx, &AgentControl::InForce { config }).await?;
     }
-    // A release may have been lost on its way to the platform, so it is repeated whenever a newer
-    // shard still lists the grant.
+    // The entry may have failed to write a release to the platform, so the release is repeated
+    // whenever a newer shard version still lists the grant.
     let releases_due = now.released != sent.released || now.shards != sent.shards;
     if releases_due && !now.released.is_empty() {
         let grants = now.released.clone();
@@ -304,6 +315,8 @@
     Ok(())
 }
 
+/// Reads the entry's messages in a separate task, because a partially read frame would be lost if
+/// `select!` dropped the read.
 fn messages(mut rx: RecvStream) -> mpsc::Receiver<EntryControl> {
     let (tx, out) = mpsc::channel(4);
     tokio::spawn(async move {
--- a/crates/stair-agent/src/dump.rs
+++ b/crates/stair-agent/src/dump.rs
@@ -1,4 +1,4 @@
-//! The state of an agent as the operator sees it.
+//! The state dump of an agent for the operator.
 
 use serde::Serialize;
 use stair_state::Ledger;
@@ -14,7 +14,7 @@
 
 use crate::control::Core;
 
-/// Everything that the control thread knows.
+/// The state of the control actor.
 #[derive(Debug, Clone, Serialize)]
 pub struct Dump {
     /// The target.
@@ -23,32 +23,32 @@
     pub incarnation: FencingToken,
     /// The configuration version in force; 0 before the first assignment.
     pub config: ConfigVersion,
-    /// Versions of the shards and the grants in them.
+    /// The shards' versions and the target's grants in them.
     pub shards: Vec<ShardAssignment>,
-    /// Grants that were given back and are still listed.
+    /// Released grants that the shards still list.
     pub released: Vec<(ShardId, GrantId)>,
-    /// What is in the engine's memory.
+    /// The models and adapters in the engine's memory.
     pub ledger: Ledger,
-    /// Whether the engine's list has to be read before the next order.
+    /// Whether the engine's inventory has to be read before the next order.
     pub in_doubt: bool,
-    /// Orders whose answers are awaited.
+    /// Number of orders that wait for a reply.
     pub orders: usize,
     /// Loads ordered since the start.
     pub loads: u64,
-    /// Requests that wait, in the order in which they are served.
+    /// Waiting requests, in the order in which they will be served.
     pub waiting: Vec<RequestId>,
-    /// Bytes of their bodies.
+    /// Total length of the waiting requests' bodies, in bytes.
     pub waiting_bytes: u64,
-    /// Requests that hold a slot of the target.
+    /// Requests that occupy a slot of the target.
     pub running: Vec<RequestId>,
-    /// Answers kept for a resume.
+    /// Number of responses that can be resumed, of running and of ended requests.
     #[serde(rename = "answers")]
     pub responses: usize,
-    /// Request ids remembered.
+    /// Number of request ids in the run table.
     pub runs: usize,
-    /// Whether the agent is leaving.
+    /// Whether the agent is draining.
     pub leaving: bool,
-    /// Entries that the agent knows.
+    /// Number of entries that the agent knows.
     pub entries: usize,
 }
 
--- a/crates/stair-agent/src/engine.rs
+++ b/crates/stair-agent/src/engine.rs
@@ -1,4 +1,4 @@
-//! The HTTP client to the engine: its list and the orders.
+//! The HTTP client of the engine's control interface: its inventory, and orders to load and unload.
 
 use std::time::Duration;
 
@@ -30,23 +30,25 @@
     ModelName, //
 };
 
-/// A list is small and made without work; an engine that needs longer is silent.
+/// Timeout of a request for the inventory, which is small and costs the engine no work.
 const LIST_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// An unload only frees memory.
+/// Timeout of an unload, which only frees memory.
 const UNLOAD_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Fencing tokens of one incarnation. The agent raises its own after each order whose answer was
-/// lost, so that the order can no longer take effect; the next incarnation's are all higher.
+/// Number of fencing tokens of one incarnation. The agent raises its token after each order whose
+/// reply was lost, so that the order can no longer take effect. All tokens of the next incarnation
+/// are higher.
 const FENCES_PER_INCARNATION: u64 = 1 << 20;
 
-/// A name that no engine holds: an order to unload it only tells the engine the fencing token.
+/// The name of a model that does not exist. An order to unload it only passes the fencing token to
+/// the engine.
 const FENCE_ONLY_MODEL: &str = "dandelionstair.nothing";
 
-/// The longest list or answer to an order.
+/// Longest body of an inventory or of a reply to an order, in bytes.
 const MAX_REPLY_BYTES: usize = 1 << 20;
 
-/// The engine as its own list shows it.
+/// The engine's inventory: its memory, and the models and adapters in it.
 #[derive(Debug, Clone, Deserialize)]
 pub(crate) struct Inventory {
     pub(crate) memory_mib: u32,
@@ -92,7 +94,7 @@
 }
 
 impl Inventory {
-    /// Tells whether the engine is still loading or unloading something.
+    /// Returns whether the engine is loading or unloading a model or an adapter.
     pub(crate) fn is_changing(&self) -> bool {
         let adapters = self.models.iter().flat_map(|m| &m.adapters);
         let mut states = self
@@ -130,21 +132,21 @@
     std::iter::once(base).chain(adapters).collect()
 }
 
-/// How an order ended.
+/// The outcome of an order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum OrderOutcome {
-    /// As the ledger takes it.
+    /// The engine's reply, as the ledger takes it.
     Reply(Answer),
-    /// No answer came: the order may still be under way.
+    /// No reply came, so the order may still take effect.
     NoReply,
-    /// The engine holds something that the ledger does not know of: it has no room although the
-    /// ledger has, or another version of the model.
+    /// The inventory differs from the ledger: the engine lacks memory that is free in the ledger,
+    /// or has loaded another version of the model.
     Unexpected,
-    /// A later agent of this target has ordered the engine.
+    /// The engine has received an order of a newer incarnation of the agent.
     Superseded,
 }
 
-/// Where the engine found a checkpoint.
+/// The source from which the engine loaded a checkpoint.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub(crate) enum Source {
@@ -163,8 +165,8 @@
     error: Box<str>,
 }
 
-/// Tells whether an order was refused for its fencing token. An engine that says no more than
-/// "conflict" is taken to mean that: to go on would be worse.
+/// Returns whether an order was refused for its fencing token. A conflict without a reason counts
+/// as such, since two agents that both send orders are worse than an agent that stops.
 fn is_stale(body: &[u8]) -> bool {
     let rejection = serde_json::from_slice::<Rejection>(body);
     rejection.map_or(true, |r| &*r.error != "other-version")
@@ -182,7 +184,7 @@
     fence: FencingToken,
 }
 
-/// The engine beside the agent. Cloning shares its connections.
+/// The client of the engine beside the agent. Cloning shares its connections.
 #[derive(Clone)]
 pub(crate) struct Engine {
     client: Client,
@@ -202,13 +204,17 @@
     pub(crate) async fn list(&self) -> anyhow::Result<Inventory> {
         let req = Request::get("/engine").body(Full::default())?;
         let reply = self.client.send(req, LIST_TIMEOUT).await?;
-        anyhow::ensure!(reply.head.status == StatusCode::OK, "no list");
+        anyhow::ensure!(
+            reply.head.status == StatusCode::OK,
+            "the engine refuses to list its inventory"
+        );
         let body = reply.collect(MAX_REPLY_BYTES, LIST_TIMEOUT).await?;
         Ok(serde_json::from_slice(&body)?)
     }
 
-    /// Makes the engine refuse all orders that were given before [`Engine::raise_fence`] and have
-    /// not arrived yet, if it checks fencing tokens, and lists what it holds.
+    /// Passes the current fencing token to the engine, then reads its inventory. An engine that
+    /// checks fencing tokens refuses from then on the orders that were sent before
+    /// [`Engine::raise_fence`] and arrive later.
     pub(crate) async fn list_fenced(&self) -> anyhow::Result<Inventory> {
         let order = Order {
             model: FENCE_ONLY_MODEL,
@@ -218,11 +224,14 @@
             fence: self.fence,
         };
         let (outcome, _) = self.order("/engine/unload", &order, LIST_TIMEOUT).await;
-        anyhow::ensure!(outcome != OrderOutcome::NoReply, "the engine is silent");
+        anyhow::ensure!(
+            outcome != OrderOutcome::NoReply,
+            "the engine does not reply"
+        );
         self.list().await
     }
 
-    /// Gives all later orders a higher fencing token.
+    /// Raises the fencing token of all later orders.
     pub(crate) fn raise_fence(&mut self) {
         self.fence = FencingToken(self.fence.0 + 1);
     }
@@ -263,7 +272,8 @@
         };
         let (outcome, _) = self.order(path, &order, UNLOAD_TIMEOUT).await;
         match outcome {
-            // Whatever else the engine says to an unload, only its list tells what it holds.
+            // After any other reply to an unload, only the inventory shows whether the model is
+            // still loaded.
             OrderOutcome::Reply(Answer::Refused) | OrderOutcome::Unexpected => {
                 OrderOutcome::Reply(Answer::Lost)
             }
@@ -271,7 +281,7 @@
         }
     }
 
-    /// Gives an order; returns how it ended and the answer's body.
+    /// Sends an order; returns its outcome and the body of the reply.
     async fn order(
         &self,
         path: &str,
@@ -296,7 +306,7 @@
             Err(_) => return without_body(OrderOutcome::NoReply),
         };
         let status = reply.head.status;
-        // The body has to be read whole before the connection serves another order.
+        // The body has to be read completely before the connection can serve another order.
         let Ok(body) = reply.collect(MAX_REPLY_BYTES, LIST_TIMEOUT).await else {
             return without_body(OrderOutcome::Reply(Answer::Lost));
         };
@@ -304,7 +314,8 @@
             StatusCode::OK => OrderOutcome::Reply(Answer::Done),
             StatusCode::CONFLICT if is_stale(&body) => OrderOutcome::Superseded,
             StatusCode::CONFLICT | StatusCode::INSUFFICIENT_STORAGE => OrderOutcome::Unexpected,
-            // What is to be unloaded is not there; what is to be loaded is not known.
+            // 404 confirms an unload, since the model is not loaded, and refuses a load of an
+            // unknown model.
             StatusCode::NOT_FOUND if order.version.is_none() => OrderOutcome::Reply(Answer::Done),
             StatusCode::NOT_FOUND => OrderOutcome::Reply(Answer::Refused),
             _ => OrderOutcome::Reply(Answer::Lost),
--- a/crates/stair-agent/src/incarnation.rs
+++ b/crates/stair-agent/src/incarnation.rs
@@ -1,4 +1,4 @@
-//! Raising the fencing token at the start of an agent.
+//! The agent's incarnation: the target's fencing token, which is raised at the start.
 
 use std::time::Duration;
 
@@ -16,15 +16,15 @@
     TargetName, //
 };
 
-/// First pause between tries while the platform is down; it doubles up to [`MAX_BACKOFF`], so that
-/// 12,000 agents that start after an outage do not keep the platform down.
+/// First backoff while the platform is unavailable. It doubles up to [`MAX_BACKOFF`], so that
+/// 12,000 agents that start after an outage do not overload the platform.
 const MIN_BACKOFF: Duration = Duration::from_millis(100);
 const MAX_BACKOFF: Duration = Duration::from_secs(5);
 
-/// Writes the record with the next token, and returns that token.
+/// Writes the target's record with the next token and returns that token.
 ///
-/// The answer to a write can be lost after the write took effect. Reading settles it: a record
-/// with this agent's token and address is this agent's.
+/// The reply to a write may be lost after the write took effect. A read then confirms the write: a
+/// record with this agent's token and address is its own.
 pub(crate) async fn raise<S>(
     store: &S,
     target: &TargetName,
@@ -77,7 +77,7 @@
     put.await.map(|_| token)
 }
 
-/// Pauses that grow and differ between processes.
+/// Exponential backoff with jitter.
 #[derive(Debug)]
 pub(crate) struct Backoff {
     next: Duration,
--- a/crates/stair-agent/src/items.rs
+++ b/crates/stair-agent/src/items.rs
@@ -1,39 +1,43 @@
-//! Keys of what requests need, and what runs and loads of it took.
+//! Keys of the items (models and adapters) that requests need, and estimates of their run and load
+//! times.
 
 use std::time::Duration;
 
 use stair_state::ledger::Item;
 use stair_types::ModelKey;
 
-/// A run that nothing is known about. Too long would refuse the first callers for nothing.
+/// Expected run time before the first observation. A longer one would refuse the first requests
+/// needlessly.
 const DEFAULT_RUN: Duration = Duration::from_millis(200);
 
-/// A load that nothing is known about.
+/// Expected load time before the first observation.
 const DEFAULT_LOAD: Duration = Duration::from_secs(2);
 
+/// Moving averages of the observations of one key.
 #[derive(Debug, Clone, Default)]
 struct Estimates {
     run: Option<Duration>,
-    /// Time for each token that a caller asked for at most.
+    /// Run time divided by the caller's limit on generated tokens.
     per_token: Option<Duration>,
     load: Option<Duration>,
 }
 
-/// Everything that requests needed since the start; the number of declared names bounds it.
+/// All items that requests have needed since the start. The number of declared models and adapters
+/// bounds them.
 #[derive(Debug, Clone, Default)]
 pub struct Items {
-    /// By key; none is the plain service.
+    /// Items by key; none stands for the plain service.
     items: Vec<Option<Item>>,
     /// Keys, sorted by item.
     sorted: Vec<ModelKey>,
-    /// By key.
+    /// Estimates by key.
     estimates: Vec<Estimates>,
     mean_run: Option<Duration>,
     mean_load: Option<Duration>,
 }
 
 impl Items {
-    /// Returns the key of an item, a new one for a new item.
+    /// Returns the key of an item, and assigns one to a new item. None is the plain service.
     pub fn key(&mut self, item: Option<&Item>) -> ModelKey {
         match self.find(item) {
             Ok(i) => self.sorted[i],
@@ -52,7 +56,7 @@
         self.items.get(key.0 as usize)?.as_ref()
     }
 
-    /// Returns how long a run is expected to take, by the tokens asked for if they are known.
+    /// Returns the expected time of a run, by its token limit if that is known (not 0).
     pub fn expected_run(&self, key: ModelKey, max_tokens: u32) -> Duration {
         let estimates = &self.estimates[key.0 as usize];
         let by_tokens = estimates.per_token.filter(|_| max_tokens > 0);
@@ -63,7 +67,7 @@
             .unwrap_or(DEFAULT_RUN)
     }
 
-    /// Notes how long a whole run took.
+    /// Records the time of a complete run.
     pub fn observe_run(&mut self, key: ModelKey, max_tokens: u32, took: Duration) {
         let estimates = &mut self.estimates[key.0 as usize];
         if max_tokens > 0 {
@@ -73,14 +77,14 @@
         update_mean(&mut self.mean_run, took);
     }
 
-    /// Returns how long a load is expected to take.
+    /// Returns the expected time of a load.
     pub fn expected_load(&self, item: &Item) -> Duration {
         let known = self.find(Some(item)).ok().map(|i| self.sorted[i]);
         let estimates = known.and_then(|k| self.estimates[k.0 as usize].load);
         estimates.or(self.mean_load).unwrap_or(DEFAULT_LOAD)
     }
 
-    /// Notes how long a load took.
+    /// Records the time of a load.
     pub fn observe_load(&mut self, item: &Item, took: Duration) {
         let key = self.key(Some(item));
         update_mean(&mut self.estimates[key.0 as usize].load, took);
@@ -93,7 +97,8 @@
     }
 }
 
-/// The last few count most; one odd one does not decide.
+/// Updates an exponential moving average. With a weight of 1/4 for the new value, recent values
+/// dominate and a single outlier does not.
 fn update_mean(mean: &mut Option<Duration>, new: Duration) {
     *mean = Some(match *mean {
         Some(old) => (old * 3 + new) / 4,
--- a/crates/stair-agent/src/lib.rs
+++ b/crates/stair-agent/src/lib.rs
@@ -1,14 +1,14 @@
-//! The process beside each target, and the only one that orders its engine.
+//! The agent: the process beside each target, and the only one that sends orders to its engine.
 //!
-//! The way of a request: [`links`] accepts the stream, `offers` reads the offer, `control` decides
-//! when it may run, `run` runs it at the target, `responses` keeps the answer, and `resume` finds it
-//! again after a link broke.
+//! A request passes through these modules: `links` accepts its stream, `offers` reads the offer,
+//! `control` decides when it runs, `run` runs it at the target, `responses` buffers the response,
+//! and `resume` serves the buffered response after a link broke.
 //!
-//! - [`start`]: the whole agent, from the exclusive bind to the end of a graceful stop.
-//! - [`dump`]: the state of the agent as the operator sees it.
-//! - [`assignment`]: which grants and models are in force; versions only rise.
-//! - [`items`]: keys of what requests need, and what runs and loads of it took.
-//! - [`victims`]: what to unload when a load needs room.
+//! - [`start`]: start, operation and graceful stop of an agent.
+//! - [`dump`]: the state of an agent for the operator.
+//! - [`assignment`]: the grants and the configuration in force, whose versions only rise.
+//! - [`items`]: keys of models and adapters, and estimates of their run and load times.
+//! - [`victims`]: the choice of models to unload when a load needs memory.
 #![deny(missing_docs)]
 #![forbid(unsafe_code)]
 
--- a/crates/stair-agent/src/links.rs
+++ b/crates/stair-agent/src/links.rs
@@ -1,4 +1,4 @@
-//! Accepts links of entries and the streams on them, one a request.
+//! Accepts links of entries and their streams, each of which carries one request.
 
 use std::{
     sync::Arc,
@@ -29,7 +29,7 @@
     resume,
 };
 
-/// Time for the first frame of a stream.
+/// Time for the first frame of a stream to arrive.
 const FIRST_FRAME_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// Serves all links until the listener is closed.
@@ -39,14 +39,15 @@
     }
 }
 
-/// Streams that an entry may have open on its link: one a waiting or running request.
+/// Maximum number of open streams on a link: one for each waiting or running request.
 const MAX_STREAMS: usize = 16_384;
 
 async fn streams(link: Link, shared: Shared) {
     let open = Arc::new(());
     while let Ok((tx, rx)) = link.accept().await {
         let (shared, mark) = (shared.clone(), open.clone());
-        // Twice as many as there are, so that a burst meets no limit for longer than a round trip.
+        // The limit is twice the number of open streams, so that a burst waits at most a round trip
+        // for a higher one.
         let streams = (Arc::strong_count(&open) * 2).next_power_of_two();
         link.allow_streams(streams.min(MAX_STREAMS) as u32);
         let counted = OpenStream::of(&shared);
@@ -59,7 +60,7 @@
     }
 }
 
-/// Counts a stream as open while it lives.
+/// Counts a stream as open until dropped.
 struct OpenStream(watch::Sender<usize>);
 
 impl OpenStream {
--- a/crates/stair-agent/src/load_slot.rs
+++ b/crates/stair-agent/src/load_slot.rs
@@ -1,4 +1,4 @@
-//! A turn at the weight store, asked from its home entry before a load.
+//! A lease on a load slot at the weight store, which a load acquires from the slots' owner.
 
 use std::time::Duration;
 
@@ -22,13 +22,15 @@
 };
 use tokio::time::timeout;
 
-/// A home that does not answer in this time is gone; a load without a turn costs speed only.
+/// Time for the owner to confirm that a request is queued. After it the owner counts as failed and
+/// the load runs without a slot, which costs only speed.
 const QUEUED_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// The longest wait for a turn, so that a home which forgot the request does not stop the load.
+/// Longest wait for a slot, after which the load runs without one. It bounds the delay by an owner
+/// that lost the request.
 const GRANTED_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// A turn; it is given back when this is dropped.
+/// A leased load slot. Dropping it closes its stream, which releases the slot.
 pub(crate) struct LoadSlot {
     _tx: SendStream,
     _rx: RecvStream,
@@ -36,7 +38,7 @@
     _link: Link,
 }
 
-/// Waits for a turn; none when the home cannot be reached.
+/// Waits for a load slot; returns none when the owner cannot be reached or grants none in time.
 pub(crate) async fn acquire(
     pool: &Pool,
     entries: &[EntryAddress],
--- a/crates/stair-agent/src/loads.rs
+++ b/crates/stair-agent/src/loads.rs
@@ -1,4 +1,4 @@
-//! What the engine should load and unload.
+//! Decisions on the engine's loads and unloads, and on the release of revoked grants.
 
 use std::time::Duration;
 
@@ -31,7 +31,7 @@
     },
 };
 
-/// Returns the declared version and memory of an item that may be held.
+/// Returns the declared version and memory, in MiB, of an item that may be loaded.
 fn declared<'a>(in_force: &'a InForce, item: &Item) -> Option<(&'a str, u32)> {
     let model: &Model = in_force.servable_model(&item.model)?;
     match &item.adapter {
@@ -50,7 +50,7 @@
     }
 }
 
-/// Tells whether an item is loaded in the version that is in force, with its base model.
+/// Returns whether an item and its base model are loaded in their declared versions.
 pub(crate) fn is_current(ledger: &Ledger, in_force: &InForce, item: &Item) -> bool {
     let current = |item: &Item| {
         let entry = ledger.get(item);
@@ -62,9 +62,9 @@
 }
 
 impl Core {
-    /// Unloads what may not be held or is of another version.
+    /// Unloads items that may no longer be loaded or whose declared version differs.
     pub(crate) fn unload_undeclared(&mut self) {
-        // Until the first configuration came, what is declared is not known.
+        // Before the first configuration the declarations are unknown.
         if self.in_force.config().0 == 0 {
             return;
         }
@@ -82,8 +82,8 @@
         }
     }
 
-    /// Unloads what was idle for longer than a cold start is worth to this deployment. The next
-    /// agent of an engine that stays takes over what is loaded.
+    /// Unloads items that have been idle for longer than the deployment's cost of a cold start
+    /// justifies. A draining agent unloads none, since the engine's next agent takes them over.
     pub(crate) fn unload_idle(&mut self) {
         if self.draining || !self.may_order() {
             return;
@@ -99,7 +99,7 @@
             let item = entry.item;
             let u = self.usage(&item);
             let key = self.items.key(Some(&item));
-            // What the engine held before this agent came counts as used when it was first seen.
+            // An item that was loaded before the agent started counts as used when first seen.
             if !self.last_used.iter().any(|(other, _)| *other == item) {
                 self.record_use(Some(&item));
                 self.keep_alive.finished(key, now);
@@ -115,7 +115,7 @@
         }
     }
 
-    /// Notes that a request came for a model; its base model is used with an adapter.
+    /// Records the arrival of a request for an item, and for the base model of an adapter.
     pub(crate) fn record_arrival(&mut self, key: ModelKey) {
         let now = self.now();
         for key in self.with_base(key) {
@@ -123,7 +123,7 @@
         }
     }
 
-    /// Notes that a request has ended: the idle time of its model begins.
+    /// Records the end of a request, at which the idle time of its item and base model begins.
     pub(crate) fn record_end(&mut self, key: ModelKey) {
         let now = self.now();
         for key in self.with_base(key) {
@@ -131,6 +131,7 @@
         }
     }
 
+    /// Returns the key of an item and that of its base model, if it is an adapter.
     fn with_base(&mut self, key: ModelKey) -> Vec<ModelKey> {
         match self.items.get(key).cloned() {
             Some(item) if item.adapter.is_some() => {
@@ -141,10 +142,10 @@
         }
     }
 
-    /// Orders the loads that waiting requests need, in the order in which these are served.
+    /// Orders the loads that waiting requests need, in the order in which these will be served.
     ///
-    /// The first that finds no room holds the others back: smaller models of worse tiers would
-    /// take what comes free, and a large one would never be loaded.
+    /// The first load that does not fit holds back the others. Smaller models of lower tiers would
+    /// otherwise take the memory as it becomes free, and a large model would never be loaded.
     pub(crate) fn order_loads(&mut self) {
         let mut loads: Vec<(Item, TierRank, Duration)> = Vec::new();
         for w in self.queue.iter() {
@@ -163,7 +164,7 @@
         self.order_on_demand();
     }
 
-    /// Loads what nobody waits for but callers were refused for, into free memory only.
+    /// Orders the queued loads on demand, for which no request waits, into free memory only.
     fn order_on_demand(&mut self) {
         let on_demand = std::mem::take(&mut self.on_demand);
         if self.refuses_work() {
@@ -184,7 +185,7 @@
         }
     }
 
-    /// Returns the time until an item can serve, by what its loads took.
+    /// Returns the expected time until an item and its base model are loaded.
     pub(crate) fn ready_in(&self, item: &Item) -> Duration {
         let adapter = item.adapter.is_some().then(|| item.clone());
         let needed = std::iter::once(base(item)).chain(adapter);
@@ -200,9 +201,10 @@
         self.items.expected_load(item).saturating_sub(passed)
     }
 
-    /// Returns false when loads after this one have to wait.
+    /// Orders a load if it fits, and otherwise unloads to free memory for it. Returns false when
+    /// later loads have to wait.
     fn try_load(&mut self, item: &Item, rank: TierRank, deadline: Duration) -> bool {
-        // An adapter needs its base model first.
+        // The base model has to be loaded before its adapter.
         if item.adapter.is_some() && !is_current(&self.ledger, &self.in_force, &base(item)) {
             return self.try_load(&base(item), rank, deadline);
         }
@@ -229,9 +231,10 @@
         true
     }
 
+    /// Unloads items to free memory for a load, or records memory pressure when none may go.
     fn evict_for(&mut self, item: &Item, rank: TierRank, missing_mib: u32) {
-        // One round at a time: adapters that go first would otherwise not count, nor their base
-        // model be chosen, and a model that is used more would be unloaded in its place.
+        // One round of unloads at a time. While adapters are being unloaded, neither their memory
+        // nor their base model is eligible, and a more recently used model would be chosen instead.
         let mut entries = self.ledger.entries().iter();
         if entries.any(|e| e.state == State::Unloading) {
             return;
@@ -246,7 +249,8 @@
         }
     }
 
-    /// Unloads an item; of a base model with adapters, the adapters first.
+    /// Unloads an item. Of a base model with adapters only the adapters are unloaded; the base
+    /// model follows in a later call.
     fn unload_group(&mut self, item: &Item) {
         match self.ledger.begin_unload(item) {
             Ok(()) => self.spawn_unload(item),
@@ -266,8 +270,8 @@
         }
     }
 
-    /// Gives back grants that are being revoked, once the engine surely holds the model no longer
-    /// and nothing can load it: a load after the grant was removed would exceed the replicas.
+    /// Releases revoked grants whose models are verifiably unloaded and cannot be loaded any more.
+    /// A load after the grant's removal would exceed the declared number of replicas.
     pub(crate) fn release_grants(&mut self) {
         if self.relist || self.listing || self.unconfirmed.any() {
             return;
@@ -287,6 +291,7 @@
         }
     }
 
+    /// Records that an item, and the base model of an adapter, is used now.
     pub(crate) fn record_use(&mut self, item: Option<&Item>) {
         let Some(item) = item else {
             return;
@@ -304,7 +309,7 @@
         }
     }
 
-    /// Returns what is known about the use of an item. A base model is used by its adapters.
+    /// Returns the use of an item. The use of an adapter counts for its base model.
     pub(crate) fn usage(&self, item: &Item) -> Use {
         let active = self.active.iter().filter_map(|a| a.item.as_ref());
         let busy = active.into_iter().any(|i| requires(Some(i), item));
@@ -322,7 +327,7 @@
     }
 }
 
-/// Tells whether work on `work` cannot go on without `item`.
+/// Returns whether a request for `work` requires `item`: the item itself or its base model.
 pub(crate) fn requires(work: Option<&Item>, item: &Item) -> bool {
     work.is_some_and(|n| n.model == item.model && (item.adapter.is_none() || n == item))
 }
--- a/crates/stair-agent/src/lock.rs
+++ b/crates/stair-agent/src/lock.rs
@@ -1,10 +1,9 @@
-//! One agent at a time for each engine or plain service.
+//! A lock that admits one agent at a time for each engine or plain service.
 //!
-//! A replacement that starts while the old process lives, paused or not, would order the same
-//! engine: two processes would keep two ledgers of one memory, and the old one, once it wakes up,
-//! would load beyond both. The lock is the exclusive bind of an abstract socket name, which the
-//! kernel frees when the process has ended and not before, whatever ended it. Nothing is ever sent
-//! on the socket, and no file is left behind.
+//! If a replacement started while the old process still exists, running or paused, both would send
+//! orders to one engine from two ledgers of its memory, and together overfill it. The lock is the
+//! exclusive bind of an abstract socket name, which the kernel frees exactly when the process ends,
+//! by whatever cause. The socket carries no data and leaves no file behind.
 
 use std::{
     io,
@@ -18,17 +17,17 @@
     },
 };
 
-/// Held for the agent's life.
+/// The lock, which is released on drop or at the end of the process.
 #[derive(Debug)]
 pub(crate) struct Lock {
     _socket: UnixListener,
 }
 
-/// Takes the lock of the engine or service at an address.
+/// Acquires the lock of the engine or plain service at an address.
 ///
 /// # Errors
 ///
-/// When another agent of it lives on this VM.
+/// Fails when another agent of the same target runs on this VM.
 pub(crate) fn take(target: SocketAddr) -> io::Result<Lock> {
     let name = format!("dandelionstair-agent-{target}");
     let addr = UnixAddr::from_abstract_name(name)?;
--- a/crates/stair-agent/src/memory_pressure.rs
+++ b/crates/stair-agent/src/memory_pressure.rs
@@ -1,4 +1,4 @@
-//! Which grants find no room, so that an entry may move them.
+//! Memory pressure: grants whose models do not fit, which an entry may move to another target.
 
 use std::time::Duration;
 
@@ -10,22 +10,24 @@
 
 use crate::control::Core;
 
-/// A model counts as crowded out when requests have waited for room for so long. Most runs end
-/// sooner and make room by themselves; a move costs two writes and perhaps a load from afar, so it
-/// should not follow each brief rush.
+/// A model is reported when its requests have waited for memory for at least this time. Most runs
+/// end sooner and free memory. A move costs two writes and perhaps a load from the weight store, so
+/// a short burst should not cause one.
 const REPORT_AFTER: Duration = Duration::from_secs(1);
 
-/// A model that finds no room.
+/// A model that cannot be loaded because all other models in memory are in use.
 #[derive(Debug, Clone)]
 pub(crate) struct MemoryPressure {
     model: ModelName,
     since: Duration,
-    /// When it was last found so; one that was not for a while has room, or nobody waits.
+    /// The last failed attempt to free memory for the model. Without a recent one the model fits,
+    /// or no request waits for it.
     last: Duration,
 }
 
 impl Core {
-    /// Notes that a waiting model finds no room, although everything unused may go for it.
+    /// Records that a model with waiting requests does not fit, even if all unused models were
+    /// unloaded.
     pub(crate) fn record_memory_pressure(&mut self, model: &ModelName) {
         let now = self.now();
         match self.memory_pressure.iter_mut().find(|n| n.model == *model) {
@@ -38,7 +40,8 @@
         }
     }
 
-    /// Returns the grants of the models that have found no room for a while.
+    /// Returns the grants whose models have been under memory pressure for at least
+    /// [`REPORT_AFTER`].
     pub(crate) fn grants_under_pressure(&mut self) -> Vec<(ShardId, GrantId)> {
         let now = self.now();
         self.memory_pressure.retain(|n| now - n.last < REPORT_AFTER);
--- a/crates/stair-agent/src/metrics.rs
+++ b/crates/stair-agent/src/metrics.rs
@@ -1,4 +1,4 @@
-//! What the control tells statsd.
+//! Metrics of the control actor.
 
 use std::time::Duration;
 
@@ -21,18 +21,18 @@
     },
 };
 
-/// Time between reports of what has no event of its own.
+/// Interval between emissions of the metrics that no event triggers.
 const METRICS_INTERVAL: Duration = Duration::from_secs(1);
 
 impl Core {
-    /// Reports queue lengths and idle accelerator time, about once a second.
+    /// Emits queue lengths and idle accelerator time, about once a second.
     pub(crate) fn emit_metrics(&mut self) {
         let now = self.now();
         if now - self.metrics_emitted < METRICS_INTERVAL {
             return;
         }
         self.metrics_emitted = now;
-        // What was used no more and is gone from the engine is forgotten here as well.
+        // Drop the use times of items that are no longer in the ledger.
         let ledger = &self.ledger;
         self.last_used
             .retain(|(item, _)| ledger.get(item).is_some());
--- a/crates/stair-agent/src/msg.rs
+++ b/crates/stair-agent/src/msg.rs
@@ -1,4 +1,4 @@
-//! What the control thread is told, what it tells, and what it starts from.
+//! Messages to and from the control actor, and its arguments.
 
 use std::{
     sync::Arc,
@@ -55,7 +55,7 @@
     responses::Response,
 };
 
-/// What the control thread is told.
+/// Messages to the control actor.
 pub(crate) enum Msg {
     Offer {
         offer: Box<Offer>,
@@ -78,7 +78,8 @@
         id: RequestId,
         run: Duration,
         complete: bool,
-        /// The target does not hold what it should, or cannot be reached.
+        /// Whether the target lacked the model or could not be reached, so that its inventory has
+        /// to be read.
         suspect: bool,
     },
     Forget {
@@ -104,7 +105,7 @@
     },
 }
 
-/// What the stream of an offer is told.
+/// Events that the control actor sends to an offer's stream.
 #[derive(Debug)]
 pub(crate) enum OfferEvent {
     Queued(Load),
@@ -113,13 +114,13 @@
     Refused(Refusal, Load),
 }
 
-/// What the agent tells its entries.
+/// The agent's report to its entries.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub(crate) struct AgentReport {
     pub(crate) config: ConfigVersion,
     pub(crate) shards: Vec<(ShardId, u64)>,
     pub(crate) released: Vec<(ShardId, GrantId)>,
-    /// Grants whose models wait for room.
+    /// Grants whose models do not fit.
     pub(crate) memory_pressure: Vec<(ShardId, GrantId)>,
     pub(crate) draining: bool,
     /// Grants in force.
@@ -128,18 +129,18 @@
     pub(crate) revoking: usize,
 }
 
-/// What the control publishes.
+/// State that the control actor publishes.
 #[derive(Clone)]
 pub(crate) struct Published {
     pub(crate) report: watch::Sender<AgentReport>,
     pub(crate) load: watch::Sender<Load>,
-    /// Requests that run, and answers that are being read.
+    /// Number of running requests and of responses that are being read.
     pub(crate) busy: watch::Sender<usize>,
-    /// Why the agent must stop serving at once.
+    /// The reason why the agent must stop serving at once.
     pub(crate) fatal: watch::Sender<Option<Box<str>>>,
 }
 
-/// What the control thread starts from.
+/// Arguments of the control actor.
 pub(crate) struct Arguments {
     pub(crate) name: TargetName,
     pub(crate) incarnation: FencingToken,
--- a/crates/stair-agent/src/offers.rs
+++ b/crates/stair-agent/src/offers.rs
@@ -1,4 +1,4 @@
-//! The stream of one offer, from the first frame to the end of the answer.
+//! The stream of one offer, from the first frame to the end of the response.
 
 use std::{
     sync::Arc,
@@ -45,23 +45,23 @@
     },
 };
 
-/// Time for the body to follow its offer.
+/// Time for the body frame to follow its offer.
 const BODY_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Time for `Start` to follow `Ready`. The slot stays empty meanwhile, and an entry that lives
-/// answers in one round trip.
+/// Time for `Start` to follow `Ready`. A healthy entry sends it within a round trip, and the slot
+/// stays idle meanwhile.
 const START_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Time for the last bytes of an answer to be acknowledged.
+/// Time for the last bytes of a stream to be acknowledged.
 const ACK_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// What all streams share.
+/// State shared by all streams.
 #[derive(Clone)]
 pub(crate) struct Shared {
     pub(crate) control: ActorRef<Msg>,
     pub(crate) incarnation: FencingToken,
     pub(crate) load: watch::Receiver<Load>,
-    /// Streams of requests that are open.
+    /// Number of open request streams.
     pub(crate) streams: watch::Sender<usize>,
 }
 
@@ -74,7 +74,7 @@
     }
 }
 
-/// Withdraws the offer when its stream ends, in whatever way. A started run goes on.
+/// Withdraws the offer when its stream ends for any reason. A started run continues.
 struct WithdrawOnDrop {
     control: ActorRef<Msg>,
     id: RequestId,
@@ -99,7 +99,7 @@
     };
     let id = offer.id;
     if body.len() != offer.body_bytes as usize {
-        let refusal = Refusal::not_run(Reason::Invalid, 0, "the body is not as long as announced");
+        let refusal = Refusal::not_run(Reason::Invalid, 0, "the body length is not as announced");
         return refuse(&mut tx, refusal, shared.load(false)).await;
     }
     let (events, mut from_control) = mpsc::unbounded_channel();
@@ -117,7 +117,7 @@
         let event = tokio::select! {
             event = from_control.recv() => event,
             msg = from_entry.recv() => match msg {
-                // A `Start` before `Ready` is not the protocol's; the stream is given up.
+                // A `Start` before `Ready` violates the protocol and ends the stream.
                 Some(ToAgent::Cancel) | None => return Ok(()),
                 Some(_) => return Ok(()),
             },
@@ -174,9 +174,10 @@
         Ok(Err(Some(OfferEvent::Refused(refusal, load)))) => Started::Refused(refusal, load),
         Ok(_) => Started::No,
         Err(_) => {
-            let message = "no start followed";
+            let message = "no `Start` followed `Ready` in time";
             let refusal = Refusal::not_run(Reason::Withdrawn, 0, message);
-            // The withdrawal has to be certain before the entry reads that nothing ran.
+            // The withdrawal has to be in effect before the entry reads that the request did not
+            // run.
             let (reply, received) = oneshot::channel();
             let _ = shared.control.send_message(Msg::Resume {
                 id,
@@ -205,7 +206,7 @@
     }
 }
 
-/// Sends an answer from an offset to its end.
+/// Sends a response from an offset to its end.
 pub(crate) async fn forward(
     shared: &Shared,
     mut tx: SendStream,
@@ -256,7 +257,7 @@
                 return refuse(&mut tx, refusal, shared.load(true)).await;
             }
             ResponsePart::Unavailable => {
-                let message = "these bytes of the answer are no longer kept";
+                let message = "these bytes of the response are no longer buffered";
                 let refusal = Refusal::may_have_run(Reason::LinkLost, 0, message);
                 return refuse(&mut tx, refusal, shared.load(true)).await;
             }
@@ -273,16 +274,16 @@
     finish(tx).await
 }
 
-/// Ends the stream and waits for the last bytes to arrive: a process that stops closes its links,
-/// and what has not arrived by then is lost.
+/// Ends the stream and waits until its last bytes are acknowledged. A process that stops closes its
+/// links, which discards unacknowledged bytes.
 async fn finish(tx: &mut SendStream) -> Result<(), frame::Error> {
     let _ = tx.finish();
     let _ = timeout(ACK_TIMEOUT, tx.stopped()).await;
     Ok(())
 }
 
-/// Reads the entry's messages in a task of their own, since a frame that is half read cannot be
-/// left for something else.
+/// Reads the entry's messages in a separate task, because a partially read frame would be lost if
+/// `select!` dropped the read.
 pub(crate) fn messages(mut rx: RecvStream) -> mpsc::Receiver<ToAgent> {
     let (tx, out) = mpsc::channel(4);
     tokio::spawn(async move {
--- a/crates/stair-agent/src/operator.rs
+++ b/crates/stair-agent/src/operator.rs
@@ -1,4 +1,4 @@
-//! What the operator asks of the agent: status, state dump and planned stop.
+//! The operator interface of the agent: status, state dump and drain.
 
 use std::pin::Pin;
 
@@ -21,7 +21,7 @@
     msg::Msg, //
 };
 
-/// Asks the control for its state.
+/// Requests the state dump from the control actor; none once the actor has stopped.
 pub(crate) async fn dump(control: &ActorRef<Msg>) -> Option<Dump> {
     let (reply, received) = oneshot::channel();
     control.send_message(Msg::Dump { reply }).ok()?;
@@ -30,7 +30,7 @@
 
 type BoxedReply<T> = Pin<Box<dyn Future<Output = T> + Send>>;
 
-/// Serves the operator until `stop` turns true.
+/// Serves operator requests until `stop` turns true.
 pub(crate) async fn serve(
     listener: TcpListener,
     stop: watch::Receiver<bool>,
--- a/crates/stair-agent/src/options.rs
+++ b/crates/stair-agent/src/options.rs
@@ -1,4 +1,4 @@
-//! Options of the decisions, from what is in force.
+//! Options of the scheduling decisions, derived from the configuration in force.
 
 use std::time::Duration;
 
@@ -13,7 +13,7 @@
 
 use crate::assignment::InForce;
 
-/// Requests that may wait in one agent, of all tiers: the time of one decision grows with them.
+/// Maximum number of waiting requests of all tiers. The time of a decision grows with their number.
 const MAX_WAITING: u32 = 4096;
 
 pub(crate) fn keep_alive_options(in_force: &InForce) -> keep::Options {
@@ -26,7 +26,8 @@
     }
 }
 
-/// Bounds the queue by the tiers in force. Before the first configuration there is one tier.
+/// Returns the limits of the queue by the tiers in force. Before the first configuration all
+/// requests belong to one tier.
 pub(crate) fn queue_options(in_force: &InForce, limits: &AgentLimits) -> Options {
     let tiers = in_force.tiers().iter().map(|t| TierOptions {
         max_waiting: t.max_waiting,
--- a/crates/stair-agent/src/orders.rs
+++ b/crates/stair-agent/src/orders.rs
@@ -1,4 +1,4 @@
-//! Orders to the engine, and what follows from their answers.
+//! Orders to the engine and the handling of their outcomes.
 
 use std::time::Duration;
 
@@ -30,12 +30,13 @@
     msg::Msg, //
 };
 
-/// Pause after a first failed load; it doubles with each failure up to [`MAX_RETRY`].
+/// Retry delay after the first failed load. It doubles with each further failure up to
+/// [`MAX_RETRY`].
 const MIN_RETRY: Duration = Duration::from_millis(500);
 const MAX_RETRY: Duration = Duration::from_secs(5);
 
-/// After so many failures in a row all that wait for the model are refused: another target may
-/// have better luck, and holding them would only use up their time.
+/// Consecutive failed loads after which all requests that wait for the model are refused, while
+/// there is time to serve them at another target.
 const MAX_FAILURES: u32 = 3;
 
 impl Core {
@@ -50,7 +51,7 @@
         let Some(engine) = self.args.engine.clone() else {
             return;
         };
-        stair_telemetry::info!(Part::Loads, "loads {} {version}", item.model);
+        stair_telemetry::info!(Part::Loads, "loading {} {version}", item.model);
         self.orders += 1;
         self.loads += 1;
         self.loading.push((item.clone(), self.now()));
@@ -81,7 +82,7 @@
         let Some(engine) = self.args.engine.clone() else {
             return;
         };
-        stair_telemetry::info!(Part::Loads, "unloads {}", item.model);
+        stair_telemetry::info!(Part::Loads, "unloading {}", item.model);
         self.orders += 1;
         let (me, item) = (self.me.clone(), item.clone());
         tokio::spawn(async move {
--- a/crates/stair-agent/src/pending_offers.rs
+++ b/crates/stair-agent/src/pending_offers.rs
@@ -1,8 +1,8 @@
-//! Offers that come before the grant that they rest on.
+//! Pending offers, which arrive before the assignment with their grant.
 //!
-//! An entry learns of a new grant by its watch and may offer the first request before the agent
-//! has its new assignment. Refusing it would cost the caller an answer that the target is about to
-//! be able to give; so the offer waits for the assignment, for a short while.
+//! An entry receives a new grant from its watch and may offer the first request before the agent
+//! has its new assignment. The target can serve such a request as soon as the assignment arrives,
+//! so the offer waits for a short time and is not refused.
 
 use std::time::Duration;
 
@@ -19,13 +19,12 @@
     msg::OfferEvent, //
 };
 
-/// How long an offer waits for its assignment. Both come from entries that hear of a grant within
-/// milliseconds of each other; what takes longer is a broken link, and the request is better off
-/// elsewhere.
+/// Time for which an offer waits for its assignment. Entries receive a grant within milliseconds of
+/// each other. A longer delay means a broken link, and another target should serve the request.
 const ASSIGNMENT_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Offers that may wait so. More would be a burst on a model that is granted at this moment; they
-/// are refused as not granted.
+/// Maximum number of pending offers. Further ones, of a burst on a model whose grant is just
+/// arriving, are refused as not granted.
 const MAX_PENDING_OFFERS: usize = 1024;
 
 /// An offer that waits for its assignment.
@@ -37,7 +36,7 @@
 }
 
 impl Core {
-    /// Takes an offer, now or when the assignment that it rests on has come.
+    /// Admits an offer, or defers it until the assignment with its grant arrives.
     pub(crate) fn receive_offer(
         &mut self,
         offer: Box<Offer>,
@@ -57,14 +56,14 @@
         });
     }
 
-    /// Takes the early offers whose assignment has come or whose time is up.
+    /// Admits the pending offers whose assignment has arrived or whose wait has timed out.
     pub(crate) fn retry_pending_offers(&mut self) {
         if self.pending_offers.is_empty() {
             return;
         }
         let now = self.now();
         for pending in std::mem::take(&mut self.pending_offers) {
-            // The entry has withdrawn it meanwhile.
+            // The entry has withdrawn the offer meanwhile.
             if pending.events.is_closed() {
                 continue;
             }
@@ -82,8 +81,8 @@
         };
         let known = self.in_force.version(shard_of(model));
         let lags = offer.shard_version > known;
-        // At its start the agent reads its grants from the platform, and learns what the models
-        // are like from its first entry.
+        // At its start the agent reads its grants from the platform; the models' declarations come
+        // with the first assignment of an entry.
         let unspecified = self.in_force.model(model).is_none() && self.in_force.is_granted(model);
         (lags && self.in_force.servable_model(model).is_none() || unspecified)
             && !self.refuses_work()
--- a/crates/stair-agent/src/reconcile.rs
+++ b/crates/stair-agent/src/reconcile.rs
@@ -1,4 +1,4 @@
-//! What the agent does not know about its engine, and how the engine's list settles it.
+//! Unconfirmed orders to the engine, and the reconciliation of the ledger with its inventory.
 
 use std::time::Duration;
 
@@ -10,30 +10,32 @@
     msg::Msg, //
 };
 
-/// An order whose answer was lost may still be under way: in the buffer of a connection that is
-/// closed already, or read and not begun. It then takes effect after a list that does not show it,
-/// and the memory or the replica would be given twice. Engines that check fencing tokens are told
-/// of a higher one before the list; others are given nothing new for this time, in which an engine
-/// that answers its list has also read what came before on other connections.
+/// Time for which an order without a reply may still take effect. It may be in the buffer of a
+/// closed connection, or read and not executed. If it took effect after an inventory that does not
+/// show it, the memory or the replica would be assigned twice.
+///
+/// Engines that check fencing tokens receive a higher one before the inventory is read. Other
+/// engines receive no new order for this time: an engine that replies to a request for its
+/// inventory has by then also read the earlier orders on other connections.
 pub(crate) const UNCONFIRMED_WINDOW: Duration = Duration::from_secs(2);
 
-/// Pause before the list is asked for again while the engine is moving or silent.
+/// Delay before the inventory is requested again while the engine is changing it or does not reply.
 const RELIST_DELAY: Duration = Duration::from_millis(100);
 
-/// An engine whose list has not been answered for so long is down, and not just busy. Requests that
-/// wait for it would wait until their deadline, though another target may serve them.
+/// An engine that has not replied to requests for its inventory for this time is down and not just
+/// busy. Its requests would wait until their deadlines although another target may serve them.
 const ENGINE_DOWN_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Orders that may take effect although they were given up.
+/// Orders without a reply, which may still take effect.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct UnconfirmedOrders {
-    /// Until when; none when there are none.
+    /// When the last such order can no longer take effect; none when there is no such order.
     until: Option<Duration>,
     items: Vec<Item>,
 }
 
 impl UnconfirmedOrders {
-    /// Returns those of an agent that ran before this one and has ended.
+    /// Returns the orders that a stale incarnation of the agent may have sent.
     pub(crate) fn of_predecessor() -> Self {
         Self {
             until: Some(UNCONFIRMED_WINDOW),
@@ -41,13 +43,13 @@
         }
     }
 
-    /// Tells whether anything may be under way.
+    /// Returns whether any order is unconfirmed.
     pub(crate) fn any(&self) -> bool {
         self.until.is_some()
     }
 
-    /// Tells whether an order for an item or its base model may be under way. An unload that comes
-    /// late would cut the requests that run on it.
+    /// Returns whether an order for an item or its base model is unconfirmed. A late unload would
+    /// interrupt the requests that run on the item.
     pub(crate) fn affects(&self, item: &Item) -> bool {
         let concerns =
             |other: &Item| other.model == item.model && (other.adapter.is_none() || other == item);
@@ -61,7 +63,7 @@
         }
     }
 
-    /// Returns whether the time has passed just now.
+    /// Clears the orders once none of them can take effect; returns whether that happened now.
     fn expire(&mut self, now: Duration) -> bool {
         let ended = self.until.is_some_and(|until| until <= now);
         if ended {
@@ -72,19 +74,20 @@
 }
 
 impl Core {
-    /// Tells whether it is known what the engine holds.
+    /// Returns whether the ledger is known to match the engine's inventory.
     pub(crate) fn knows_inventory(&self) -> bool {
         !self.relist && !self.listing && !self.ledger.in_doubt()
     }
 
-    /// Tells whether the engine may be ordered now. An agent that leaves still unloads what it has
-    /// to give back.
+    /// Returns whether the engine may receive orders now. A draining agent still unloads the models
+    /// whose grants it releases.
     pub(crate) fn may_order(&self) -> bool {
         self.knows_inventory() && !self.unconfirmed.any()
     }
 
-    /// Asks for the engine's list when something is in doubt. The list settles an order only if it
-    /// is asked for after the last answer came or was lost, so no order is given meanwhile.
+    /// Requests the engine's inventory when the ledger may not match it. The inventory confirms an
+    /// order only if it is requested after the last reply came or was lost, so no order is sent
+    /// meanwhile.
     pub(crate) fn reconcile_inventory(&mut self) {
         let now = self.now();
         if self.unconfirmed.expire(now) {
@@ -109,6 +112,7 @@
         });
     }
 
+    /// Reconciles the ledger with the inventory; none means that the engine did not reply.
     pub(crate) fn inventory_received(&mut self, inventory: Option<Inventory>) {
         self.listing = false;
         match inventory {
@@ -124,14 +128,14 @@
         }
     }
 
-    /// Tells whether the engine has not answered for so long that it counts as lost.
+    /// Returns whether the engine counts as down, as [`ENGINE_DOWN_TIMEOUT`] describes.
     pub(crate) fn engine_is_down(&self) -> bool {
         let down = |since: Duration| self.now().saturating_sub(since) >= ENGINE_DOWN_TIMEOUT;
         self.unresponsive_since.is_some_and(down)
     }
 
-    /// Notes that an order may still be under way. Orders given from now on carry a higher fencing
-    /// token, and the next list is asked for after the engine was told of it.
+    /// Records an order without a reply. Later orders carry a higher fencing token, which the
+    /// engine receives before the next inventory is read.
     pub(crate) fn record_unconfirmed(&mut self, item: &Item) {
         let now = self.now();
         self.unconfirmed.add(now, item);
--- a/crates/stair-agent/src/refuse.rs
+++ b/crates/stair-agent/src/refuse.rs
@@ -1,4 +1,4 @@
-//! Final refusals, with when to come back.
+//! Final refusals of requests, with their retry delays.
 
 use std::time::Duration;
 
@@ -19,31 +19,32 @@
     msg::OfferEvent, //
 };
 
-/// When a caller may come back after a request was refused because the agent leaves.
+/// Retry delay of a refusal by a draining agent, in milliseconds.
 const DRAINING_RETRY_MS: u32 = 500;
 
 impl Core {
-    /// Refuses what can no longer be answered in time: its caller has to know now.
+    /// Refuses waiting requests that can no longer finish before their deadlines, so that their
+    /// callers need not wait for these.
     pub(crate) fn expire(&mut self) {
         let now = self.now();
         for id in self.queue.expire(now) {
-            let message = "the request waited too long to finish in time";
+            let message = "the request can no longer finish before its deadline";
             self.refuse_later(id, Reason::DeadlinePassed, message);
         }
     }
 
-    /// Refuses what waits for a model that may not be held any more.
+    /// Refuses requests that wait for a model which may no longer be loaded.
     pub(crate) fn refuse_ungranted(&mut self) {
         let ids = self
             .remove_waiting_if(|core, item| core.in_force.servable_model(&item.model).is_none());
         for id in ids {
-            let message = "the target gives the model back";
+            let message = "the target no longer serves the model";
             let refusal = Refusal::not_run(Reason::NotGranted, RETRY_ELSEWHERE_MS, message);
             self.refuse_id(id, refusal);
         }
     }
 
-    /// Takes the requests out of the queue that wait for certain items.
+    /// Removes from the queue the requests whose items satisfy a condition, and returns their ids.
     pub(crate) fn remove_waiting_if<F>(&mut self, matches: F) -> Vec<RequestId>
     where
         F: Fn(&Self, &Item) -> bool,
@@ -59,12 +60,12 @@
         ids
     }
 
-    /// Refuses everything that has not started, also what was told that it can run now.
+    /// Refuses all requests that have not started, including those that are ready.
     pub(crate) fn refuse_all_draining(&mut self) {
         self.refuse_all(&draining_refusal());
     }
 
-    /// Refuses everything that has not started at an engine that is down.
+    /// Refuses all requests that have not started if the engine is down.
     pub(crate) fn refuse_all_engine_down(&mut self) {
         if self.engine_is_down() {
             self.refuse_all(&engine_down_refusal());
@@ -86,7 +87,7 @@
         }
     }
 
-    /// Refuses a request that may come back when the queue has drained.
+    /// Refuses a request with a retry delay after which the queue is expected to have drained.
     pub(crate) fn refuse_later(&mut self, id: RequestId, reason: Reason, message: &str) {
         let drain = self.expected_wait();
         let refusal = Refusal::not_run(reason, drain_retry_ms(drain), message);
@@ -107,25 +108,26 @@
     }
 }
 
-/// When a caller may come back after the engine was found down, in milliseconds: a process beside
-/// it starts it again in some seconds.
+/// Retry delay of a refusal by an engine that is down, in milliseconds. A supervisor restarts the
+/// engine within seconds.
 const ENGINE_DOWN_RETRY_MS: u32 = 2_000;
 
 pub(crate) fn engine_down_refusal() -> Refusal {
     Refusal::not_run(
         Reason::TargetFailed,
         ENGINE_DOWN_RETRY_MS,
-        "the engine does not answer",
+        "the engine does not reply",
     )
 }
 
-/// Says that the agent takes no more work.
+/// Returns the refusal of an agent that is draining or whose VM is leaving.
 pub(crate) fn draining_refusal() -> Refusal {
     Refusal::not_run(Reason::Leaving, DRAINING_RETRY_MS, "the target is leaving")
 }
 
-/// Returns when the queue has drained. The entry spreads it, so that those who are refused together
-/// do not come back together; to spread it here as well would send them back later than needed.
+/// Returns the retry delay, in milliseconds, for the time until the queue has drained. The entry
+/// adds jitter, so that requests refused together do not return together. Jitter here as well would
+/// delay them needlessly.
 pub(crate) fn drain_retry_ms(drain: Duration) -> u32 {
     millis(drain.max(backoff::MIN_RETRY_AFTER))
 }
--- a/crates/stair-agent/src/responses.rs
+++ b/crates/stair-agent/src/responses.rs
@@ -1,4 +1,4 @@
-//! The answer of one run, kept so that it can be taken up again by offset.
+//! Buffered responses, which an entry can resume at an offset after its link broke.
 
 use std::{
     collections::VecDeque,
@@ -23,7 +23,7 @@
     time::timeout, //
 };
 
-/// Status and media type of the target's answer.
+/// Status, media type and other headers of the target's response.
 #[derive(Debug, Clone)]
 pub(crate) struct Head {
     pub(crate) status: u16,
@@ -38,7 +38,7 @@
     Refused(Refusal),
 }
 
-/// What a reader gets next.
+/// The next part of a response for its reader.
 #[derive(Debug)]
 pub(crate) enum ResponsePart {
     Head(Head),
@@ -48,26 +48,27 @@
         run_ms: u32,
     },
     Refused(Refusal),
-    /// Another stream has taken up the answer, or the bytes are no longer kept.
+    /// Another reader has replaced this one, or the bytes at its offset are no longer buffered.
     Unavailable,
 }
 
+/// The head and the buffered body of a response, and the position of its reader.
 #[derive(Debug, Default)]
 struct Buffer {
     head: Option<Head>,
     chunks: VecDeque<Bytes>,
-    /// The offset of the first byte kept.
+    /// The offset of the first buffered byte.
     start: u64,
-    /// The bytes of the whole answer so far.
+    /// Bytes received from the target so far.
     total_bytes: u64,
-    /// What the present reader has passed on.
+    /// The offset up to which the current reader has read.
     read: u64,
     outcome: Option<RunOutcome>,
-    /// Rises with each reader; an older one is gone.
+    /// The number of the current reader. It rises with each reader, which replaces the older ones.
     reader: u64,
 }
 
-/// One run's answer.
+/// The buffered response of one run.
 #[derive(Debug)]
 pub(crate) struct Response {
     buffer: Mutex<Buffer>,
@@ -78,7 +79,7 @@
     readers: ReaderCount,
 }
 
-/// Counts the answers that are being read. Cloning shares the count.
+/// Counts the responses that are being read. Cloning shares the count.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct ReaderCount(Arc<AtomicUsize>);
 
@@ -105,8 +106,8 @@
         self.notify();
     }
 
-    /// Keeps a piece of the body; waits when the reader is so far behind that more would exceed
-    /// the limit. That holds back the target rather than filling the agent's memory.
+    /// Buffers a chunk of the body. Waits while the buffer is full of bytes that the reader has not
+    /// read, which applies back-pressure to the target and bounds the agent's memory.
     pub(crate) async fn push(&self, chunk: Bytes) {
         let mut changed = self.changed.subscribe();
         while !self.evict_read(chunk.len() as u64) {
@@ -122,6 +123,7 @@
         self.notify();
     }
 
+    /// Evicts chunks that have been read until `bytes` fit. Returns whether they fit.
     fn evict_read(&self, bytes: u64) -> bool {
         let mut buffer = self.buffer();
         while buffer.total_bytes - buffer.start + bytes > self.max_bytes {
@@ -142,7 +144,7 @@
         self.notify();
     }
 
-    /// Takes up the answer at an offset; a reader before this one is gone.
+    /// Returns a reader from an offset, which replaces any earlier reader.
     pub(crate) fn read(self: &Arc<Self>, offset: u64) -> Reader {
         let mut buffer = self.buffer();
         buffer.reader += 1;
@@ -159,7 +161,7 @@
         }
     }
 
-    /// Waits until nobody has read the answer for `ttl`.
+    /// Waits until the response has had no reader for `ttl`.
     pub(crate) async fn abandoned(&self, ttl: Duration) {
         let mut attached = self.attached.subscribe();
         loop {
@@ -172,13 +174,13 @@
         }
     }
 
-    /// Returns the bytes kept.
+    /// Returns the number of buffered bytes.
     pub(crate) fn bytes(&self) -> u64 {
         let buffer = self.buffer();
         buffer.total_bytes - buffer.start
     }
 
-    /// Notes whether somebody reads the answer; called with `buffer` locked.
+    /// Records whether the response has a reader. The caller holds the lock of `buffer`.
     fn set_attached(&self, attached: bool) {
         let before = self.attached.send_replace(attached);
         match (before, attached) {
@@ -205,7 +207,7 @@
     }
 }
 
-/// Reads an answer from an offset to its end.
+/// Reads a response from an offset to its end.
 #[derive(Debug)]
 pub(crate) struct Reader {
     response: Arc<Response>,
--- a/crates/stair-agent/src/resume.rs
+++ b/crates/stair-agent/src/resume.rs
@@ -1,4 +1,4 @@
-//! Taking up an answer again after its link broke.
+//! Streams that resume a response after its link broke, or withdraw a request.
 
 use stair_link::{
     RecvStream,
@@ -23,7 +23,8 @@
     },
 };
 
-/// Serves the rest of an answer, or says what is known of the request.
+/// Sends the rest of a response, or a refusal whose verdict states whether the request may have
+/// run.
 pub(crate) async fn serve(
     shared: &Shared,
     mut tx: SendStream,
@@ -45,8 +46,8 @@
     }
 }
 
-/// Makes sure that a request which has not started never does, and says whether it had. The answer
-/// of one that runs stays with the entry that reads it.
+/// Ensures that a request which has not started never does, and replies whether it may have run.
+/// The response of a started request stays with the entry that reads it.
 pub(crate) async fn withdraw(
     shared: &Shared,
     mut tx: SendStream,
--- a/crates/stair-agent/src/run.rs
+++ b/crates/stair-agent/src/run.rs
@@ -1,4 +1,4 @@
-//! One run of a request at the target.
+//! The run of one request at the target.
 
 use std::{
     sync::Arc,
@@ -46,10 +46,10 @@
 /// The header that carries the request's id to the target.
 const ID_HEADER: &str = "x-request-id";
 
-/// When asking again is worth while after a target could not be reached.
+/// Retry delay after the target could not be reached or lacked the model, in milliseconds.
 const RETRY_MS: u32 = 500;
 
-/// Everything that one run needs.
+/// The inputs of one run.
 pub(crate) struct Job {
     pub(crate) offer: Box<Offer>,
     pub(crate) body: Bytes,
@@ -62,16 +62,16 @@
     pub(crate) control: ActorRef<Msg>,
 }
 
-/// Why a run went wrong, and whether the target's state has to be read again.
+/// A failed run. `suspect` marks a target whose inventory has to be read again.
 struct Failed {
     refusal: Refusal,
     suspect: bool,
 }
 
-/// Runs the request once and keeps its answer until nobody will ask for it again.
+/// Runs the request once and keeps its response until it has had no reader for the configured time.
 ///
-/// A broken link does not end the run: the entry takes the answer up again on a new link. Only
-/// when nobody does for a while, the run is cancelled by closing the target's connection.
+/// A broken link does not end the run, because the entry resumes the response on a new link. When
+/// no entry does so in that time, the run is cancelled by closing the target's connection.
 pub(crate) async fn run(job: Job) {
     let ttl = Duration::from_millis(job.limits.keep_answer_ms.into());
     let began = Instant::now();
@@ -86,7 +86,7 @@
     let result = tokio::select! {
         result = send_to_target(job) => result,
         () = response.cancelled() => abort(Reason::Withdrawn, "the request was withdrawn"),
-        () = response.abandoned(ttl) => abort(Reason::LinkLost, "nobody took the answer up"),
+        () = response.abandoned(ttl) => abort(Reason::LinkLost, "no entry resumed the response"),
         () = tokio::time::sleep(time_left) => {
             abort(Reason::DeadlinePassed, "the deadline passed during the run")
         }
@@ -135,9 +135,10 @@
         .await
         .map_err(target_failure)?;
     let status = resp.head.status;
-    // The engine lost the model, by a restart for instance. It says so before it runs anything.
+    // The engine has lost the model, by a restart for instance. It replies so before it runs
+    // anything.
     if job.is_engine && status == StatusCode::NOT_FOUND {
-        let message = "the engine does not hold the model";
+        let message = "the engine has not loaded the model";
         return Err(Failed {
             refusal: Refusal::not_run(Reason::LoadFailed, RETRY_MS, message),
             suspect: true,
@@ -156,7 +157,7 @@
     Ok(())
 }
 
-/// Headers that belong to the target's connection or travel in fields of their own.
+/// Headers that belong to the target's connection or have their own fields in a message. Sorted.
 const NOT_FORWARDED: [&str; 9] = [
     "connection",
     "content-length",
@@ -169,7 +170,8 @@
     "upgrade",
 ];
 
-/// Bytes of headers passed on; a target cannot make a message exceed its frame by more.
+/// Maximum total length of the forwarded headers, in bytes, which keeps a message within the limit
+/// of its frame.
 const MAX_HEADER_BYTES: usize = 16 << 10;
 
 fn forwarded_headers(headers: &HeaderMap) -> Vec<Header> {
@@ -200,7 +202,11 @@
             RETRY_MS,
             "the target is not reachable",
         ),
-        _ => Refusal::may_have_run(Reason::TargetFailed, 0, "the target's answer was cut"),
+        _ => Refusal::may_have_run(
+            Reason::TargetFailed,
+            0,
+            "the target's response was truncated",
+        ),
     };
     Failed {
         refusal,
--- a/crates/stair-agent/src/slots.rs
+++ b/crates/stair-agent/src/slots.rs
@@ -1,4 +1,4 @@
-//! Which requests run, and the answers that they leave.
+//! The slots of the target: starts and ends of runs, and the buffered responses.
 
 use std::{
     sync::Arc,
@@ -27,17 +27,17 @@
     run, //
 };
 
-/// One slot in so many is for short work only.
+/// One in this many slots is reserved for short requests.
 const SHORT_SLOT_DIVISOR: usize = 8;
 
-/// Bytes of all whole answers kept for a resume.
+/// Limit on the bytes of all responses of ended runs that stay buffered for a resume.
 const MAX_BUFFERED_BYTES: u64 = 64 << 20;
 
 impl Core {
-    /// Gives free slots to the first requests whose model is loaded.
+    /// Assigns free slots to the first waiting requests whose model is loaded.
     ///
-    /// An eighth of the slots is for short work only: when all are taken by long drafts, a look-up
-    /// would wait for one of them to end.
+    /// An eighth of the slots is reserved for short requests, which would otherwise wait for the
+    /// end of a long one when long ones occupy all slots.
     pub(crate) fn assign_slots(&mut self) {
         let (now, slots) = (self.now(), self.slots());
         let general = slots - slots / SHORT_SLOT_DIVISOR;
@@ -73,6 +73,7 @@
         }
     }
 
+    /// Starts a request that may start when ready, and reports any other as ready to its entry.
     fn make_ready(&mut self, id: RequestId) {
         let Ok(i) = self.find_unstarted(id) else {
             return;
@@ -87,7 +88,7 @@
         }
     }
 
-    /// Runs a request that holds a slot, at most once.
+    /// Starts the run of a request that occupies a slot, at most once.
     pub(crate) fn start(&mut self, id: RequestId) -> Option<Arc<Response>> {
         let slot = self.active.iter().position(|a| a.id == id && !a.started)?;
         let at = self.find_unstarted(id).ok()?;
@@ -114,7 +115,7 @@
         Some(response)
     }
 
-    /// Makes sure that a request that has not started never does.
+    /// Ensures that a request which has not started never does.
     pub(crate) fn withdraw(&mut self, id: RequestId) {
         if self.runs.withdraw(self.now(), id) == Phase::Started {
             return;
@@ -126,7 +127,7 @@
         }
     }
 
-    /// Finds the answer of a started request, or says for sure that it has not run.
+    /// Returns the response of a started request, and withdraws one that has not started.
     pub(crate) fn resume(
         &mut self,
         id: RequestId,
@@ -139,18 +140,18 @@
         if self.runs.withdraw(self.now(), id) == Phase::Withdrawn {
             let message = "the request had not started";
             let refusal = Refusal::not_run(Reason::LinkLost, RETRY_ELSEWHERE_MS, message);
-            // The stream of the offer may live still, and learns the same.
+            // The offer's stream may still be open and receives the same refusal.
             self.queue.remove(id);
             self.refuse_id(id, refusal.clone());
             return Err(refusal);
         }
         self.responses.get(id).cloned().ok_or_else(|| {
-            let message = "the answer is no longer kept";
+            let message = "the response is no longer buffered";
             Refusal::may_have_run(Reason::LinkLost, 0, message)
         })
     }
 
-    /// Frees the slot; `run` is the time of a whole run.
+    /// Frees the slot of a run. `run` is the time of a complete run, none of a failed one.
     pub(crate) fn run_ended(&mut self, id: RequestId, run: Option<Duration>, suspect: bool) {
         if let Some(i) = self.active.iter().position(|a| a.id == id) {
             let ended = self.active.swap_remove(i);
@@ -172,8 +173,9 @@
         }
     }
 
+    /// Drops the response of a request.
     pub(crate) fn forget(&mut self, id: RequestId) {
-        // Answers are kept for the same time, so the one to forget is among the oldest.
+        // All responses are buffered for the same time, so this one is among the oldest.
         if let Some(i) = self.buffered.iter().position(|e| e.id == id)
             && let Some(ended) = self.buffered.remove(i)
         {
@@ -182,8 +184,9 @@
         self.responses.remove(id);
     }
 
-    /// Forgets the oldest whole answers when all together take too much memory. Each is bounded,
-    /// but under load hundreds end in the time for which they are kept, and few are asked for.
+    /// Drops the oldest responses of ended runs while their total exceeds [`MAX_BUFFERED_BYTES`].
+    /// Each response is bounded, but under load hundreds of runs end within the time for which
+    /// responses stay buffered, and few are resumed.
     fn trim_responses(&mut self) {
         while self.buffered_bytes > MAX_BUFFERED_BYTES
             && let Some(oldest) = self.buffered.front().map(|e| e.id)
--- a/crates/stair-agent/src/start.rs
+++ b/crates/stair-agent/src/start.rs
@@ -1,4 +1,4 @@
-//! The whole agent, from the exclusive bind to the end of a graceful stop.
+//! Start, operation and graceful stop of an agent.
 
 use std::{
     net::SocketAddr,
@@ -77,28 +77,28 @@
     operator, //
 };
 
-/// Time to open a link to an entry.
+/// Timeout of opening a link to an entry.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Time for the control links to say their last and close.
+/// Time for the control links to send their last report and close.
 const CLOSE_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Time for the entries to revoke the grants of an agent that stops. It takes them milliseconds,
-/// or 3.5 s when the first of them is dead. When the platform is down they cannot, and the VM has
-/// to go all the same.
+/// Time for the entries to revoke the grants of a stopping agent. It takes them milliseconds, or
+/// 3.5 s when the first of them has failed. They cannot while the platform is unavailable, and the
+/// agent stops regardless.
 const REVOKE_TIMEOUT: Duration = Duration::from_secs(4);
 
-/// Time for revoked grants to be given back once nothing runs any more. An unload takes about a
-/// second.
+/// Time to release the revoked grants after the last run has ended. An unload takes about a second.
 const RELEASE_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Time for refusals and the ends of answers to reach the entries before the links are closed.
+/// Time for refusals and the ends of responses to reach the entries before the links are closed.
 const STREAMS_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Idle connections kept to the target.
+/// Maximum number of idle connections to the target.
 const MAX_IDLE: usize = 64;
 
-/// Time without any entry after which the VMs are listed again; it doubles each time.
+/// Time without a link to any entry after which the VMs are listed again. It doubles each time up
+/// to [`MAX_REFRESH_INTERVAL`].
 const MIN_REFRESH_INTERVAL: Duration = Duration::from_secs(1);
 const MAX_REFRESH_INTERVAL: Duration = Duration::from_secs(30);
 
@@ -117,8 +117,8 @@
 ///
 /// # Errors
 ///
-/// When an address is taken, the keys cannot be used, or a later agent of the same target has
-/// taken over the engine.
+/// Fails when an address is in use, the keys are invalid, or a newer agent of the same target
+/// controls the engine.
 pub async fn run<S>(
     settings: AgentSettings,
     keys: Keys,
@@ -140,22 +140,29 @@
     ///
     /// # Errors
     ///
-    /// When an address is taken or the keys cannot be used.
+    /// Fails when an address is in use, another agent of the target runs on this VM, or the keys
+    /// are invalid.
     pub async fn start<S>(settings: AgentSettings, keys: Keys, store: S) -> anyhow::Result<Self>
     where
         S: ObjectStore,
     {
         let lock = lock::take(settings.target.address())
-            .with_context(|| format!("agent: another agent of {} lives", settings.name))?;
+            .with_context(|| format!("agent: another agent of {} is running", settings.name))?;
         let operator = TcpListener::bind(settings.operator)
             .await
-            .with_context(|| format!("agent: the operator address {}", settings.operator))?;
+            .with_context(|| {
+                format!("agent: cannot bind operator address {}", settings.operator)
+            })?;
         let operator_addr = operator.local_addr()?;
         let listener = Listener::bind(settings.link, &keys)?;
         let link = listener.addr()?;
         let record = record(&settings, settings.advertise.unwrap_or(link));
         let incarnation = incarnation::raise(&store, &settings.name, &record).await;
-        stair_telemetry::info!(Part::Agent, "{} starts as {incarnation}", settings.name);
+        stair_telemetry::info!(
+            Part::Agent,
+            "{} starts as incarnation {incarnation}",
+            settings.name
+        );
         let in_force = InForce::new(bootstrap::list_grants(&store, &settings.name).await);
         let (entries, _) = watch::channel(bootstrap::list_entries(&store).await);
         let dialer = Dialer::new(&keys, CONNECT_TIMEOUT)?;
@@ -234,12 +241,12 @@
         })
     }
 
-    /// Returns where the agent listens for links.
+    /// Returns the address at which the agent listens for links.
     pub fn link_addr(&self) -> SocketAddr {
         self.link
     }
 
-    /// Returns where the operator asks for the state dump.
+    /// Returns the address of the operator interface.
     pub fn operator_addr(&self) -> SocketAddr {
         self.operator
     }
@@ -249,21 +256,21 @@
         self.incarnation
     }
 
-    /// Returns the entries that the agent has control links to.
+    /// Returns the entries to which the agent has control links.
     pub fn linked(&self) -> Vec<EntryName> {
         self.linked.borrow().clone()
     }
 
-    /// Returns the state; none once the agent has ended.
+    /// Returns the state dump; none once the agent has stopped.
     pub async fn dump(&self) -> Option<Dump> {
         operator::dump(&self.control).await
     }
 
-    /// Stops gracefully: what waits is refused, what runs is finished.
+    /// Stops gracefully: refuses waiting requests and finishes running ones.
     ///
     /// # Errors
     ///
-    /// When a later agent of the same target has taken over the engine.
+    /// Fails when a newer agent of the same target controls the engine.
     pub async fn stop(self) -> anyhow::Result<()> {
         self.stop.send_replace(true);
         self.done.await?
@@ -273,7 +280,7 @@
     ///
     /// # Errors
     ///
-    /// As [`Agent::stop`].
+    /// Fails as [`Agent::stop`] does.
     pub async fn run_until(mut self, mut stop: watch::Receiver<bool>) -> anyhow::Result<()> {
         tokio::select! {
             result = &mut self.done => return result?,
@@ -290,7 +297,7 @@
     cx: control_links::Context,
     store: S,
     published: Published,
-    /// Dropped last, when nothing is left that could order the engine.
+    /// Dropped last, when no task is left that could send orders to the engine.
     lock: Lock,
     drain: watch::Sender<bool>,
 }
@@ -323,12 +330,13 @@
             let _ = control.send_message(Msg::Stop);
             drain(&self.published).await;
             wait_for_release(&self.published, &linked).await;
-            // What is refused at the very end has to be told too: a link that breaks first would
-            // leave the entries in doubt.
+            // The last refusals have to reach the entries too. If the links closed first, an entry
+            // could not tell whether these requests ran.
             let none = streams.wait_for(|n| *n == 0);
             let _ = tokio::time::timeout(STREAMS_TIMEOUT, none).await;
         }
-        // An idle agent has nothing to wait for, and its "leaving" would not be said otherwise.
+        // The links send a last report before they close. Without it an idle agent, which waits for
+        // nothing above, might close its links before its drain is reported.
         close_links.send_replace(true);
         let closed = tokio::time::timeout(CLOSE_TIMEOUT, &mut control_links).await;
         if closed.is_err() {
@@ -348,7 +356,7 @@
     }
 }
 
-/// Waits until nothing runs and all answers are read, also after new ones were taken up again.
+/// Waits until no request runs and no response is being read, including resumed ones.
 async fn drain(published: &Published) {
     let mut report = published.report.subscribe();
     let _ = report.wait_for(|s| s.draining).await;
@@ -356,11 +364,11 @@
     let _ = busy.wait_for(|b| *b == 0).await;
 }
 
-/// Waits until the target has no grants any more, if there is an entry to take them.
+/// Waits until the target's grants are revoked and released, if the agent has a link to an entry.
 ///
-/// The platform's list may call this VM live for long after the agent has ended, and only the
-/// agent can say that the engine holds a model no longer. Its models would be served by nobody
-/// until the list has noticed.
+/// The platform's list may show this VM as live for a long time after the agent has ended, and only
+/// the agent can confirm that the engine has unloaded a model. Until the list changed, no target
+/// would serve models whose grants were not released.
 async fn wait_for_release(published: &Published, linked: &watch::Receiver<Vec<EntryName>>) {
     if linked.borrow().is_empty() {
         return;
@@ -373,13 +381,13 @@
         done = tokio::time::timeout(RELEASE_TIMEOUT, none).await.is_ok();
     }
     if !done {
-        stair_telemetry::warn!(Part::Agent, "ends with grants that nobody took back");
+        stair_telemetry::warn!(Part::Agent, "stopping with unreleased grants");
     }
 }
 
-/// The entries that an agent knows may all be replaced while it was cut off, or none may run yet
-/// when it starts. It lists the VMs again then: soon at first, and then seldom, since 12,000 agents
-/// may be cut off at once.
+/// Lists the VMs again while the agent has no link to an entry. All entries that it knows may have
+/// been replaced while it was cut off, or none may run yet when it starts. The interval doubles,
+/// since 12,000 agents may be cut off at once.
 async fn refresh_entries<S>(store: S, cx: control_links::Context)
 where
     S: ObjectStore,
@@ -436,7 +444,7 @@
         match engine.list().await {
             Ok(inventory) => break inventory,
             Err(e) => {
-                stair_telemetry::warn!(Part::Agent, "the engine does not list what it holds: {e}")
+                stair_telemetry::warn!(Part::Agent, "cannot read the engine's inventory: {e}")
             }
         }
         backoff.wait().await;
@@ -450,7 +458,7 @@
     ledger
 }
 
-/// Runs the control on a thread of its own, so that heavy traffic does not delay its decisions.
+/// Runs the control actor on its own thread, so that heavy traffic does not delay its decisions.
 async fn spawn_control(args: Arguments) -> anyhow::Result<ActorRef<Msg>> {
     let (tx, rx) = oneshot::channel();
     let runtime = tokio::runtime::Builder::new_current_thread()
--- a/crates/stair-agent/src/victims.rs
+++ b/crates/stair-agent/src/victims.rs
@@ -1,4 +1,4 @@
-//! What to unload when a load needs room.
+//! The choice of victims: items to unload when a load needs memory.
 
 use std::time::Duration;
 
@@ -12,23 +12,23 @@
 };
 use stair_types::TierRank;
 
-/// What is known about the use of a loaded item.
+/// The use of a loaded item.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Use {
-    /// Requests run on it or are about to.
+    /// Whether requests run on the item or have a slot assigned to run on it.
     pub busy: bool,
-    /// The best tier that waits for it.
+    /// The highest-ranking tier of the requests that wait for the item.
     pub waiting: Option<TierRank>,
-    /// When it was last used, as time since the agent's start.
+    /// When the item was last used, as time since the agent's start.
     pub last_used: Duration,
 }
 
-/// Chooses items to unload so that `missing_mib` come free, least recently used first; none when
-/// that cannot be reached.
+/// Chooses items to unload that free at least `missing_mib`, the least recently used first. Returns
+/// none when that cannot be reached.
 ///
-/// Under more demand than memory, unloading what others of the same tier wait for would make two
-/// models take turns at loading and nothing run, so only work of a better tier takes the memory of
-/// waiting work. Adapters go before their base; the base follows once they are gone.
+/// An item for which requests wait is chosen only for a load of a higher tier. Otherwise, when
+/// demand exceeds memory, two models of one tier would evict each other repeatedly and serve no
+/// request. Adapters are unloaded before their base model.
 pub fn choose<F>(
     ledger: &Ledger,
     to_load: &Item,
@@ -39,14 +39,14 @@
 where
     F: Fn(&Item) -> Use,
 {
-    let free = |e: &Entry| {
+    let evictable = |e: &Entry| {
         let u = usage(&e.item);
         e.state == State::Loaded
             && e.item.model != to_load.model
             && !u.busy
             && u.waiting.is_none_or(|waiting| waiting > rank)
     };
-    // A group is a base model with its adapters; it goes as a whole or its adapters go alone.
+    // A group is a base model with all its adapters, or a single adapter.
     let mut groups: Vec<(Duration, Vec<&Entry>)> = Vec::new();
     for entry in ledger.entries() {
         let all = ledger
@@ -57,7 +57,7 @@
             None => all.collect(),
             Some(_) => vec![entry],
         };
-        if group.iter().all(|e| free(e)) {
+        if group.iter().all(|e| evictable(e)) {
             let last = group.iter().map(|e| usage(&e.item).last_used).max();
             groups.push((last.unwrap_or_default(), group));
         }
