--- a/crates/stair-agent/tests/common/engine.rs
+++ b/crates/stair-agent/tests/common/engine.rs
@@ -1,4 +1,4 @@
-//! An engine in memory, which fails on command.
+//! An in-memory stand-in of an engine with injected failures.
 
 use std::{
     collections::BTreeMap,
@@ -37,9 +37,9 @@
     state: Arc<Mutex<State>>,
     /// Completions wait until this is true.
     pub(crate) open: watch::Sender<bool>,
-    /// A streamed answer sends its second half once this is true.
+    /// A streamed response sends its second half once this is true.
     pub(crate) second_half: watch::Sender<bool>,
-    /// Kept, so that the listener goes on.
+    /// The listener stops when this is dropped.
     _stop: watch::Sender<bool>,
 }
 
@@ -89,39 +89,39 @@
         self.state.lock().expect("lock")
     }
 
-    /// Returns how many loads were ordered.
+    /// Returns the number of loads ordered.
     pub(crate) fn loads(&self) -> u32 {
         self.state().loads
     }
 
-    /// Returns the ids that were run, in order.
+    /// Returns the ids of the requests that were run, in order.
     pub(crate) fn runs(&self) -> Vec<String> {
         self.state().runs.clone()
     }
 
-    /// Returns the models held.
+    /// Returns the loaded models.
     pub(crate) fn models(&self) -> Vec<String> {
         self.state().models.keys().cloned().collect()
     }
 
-    /// Returns the version held of a model.
+    /// Returns the loaded version of a model.
     pub(crate) fn version(&self, model: &str) -> Option<String> {
         let state = self.state();
         let version = state.models.get(model)?["version"].as_str();
         version.map(str::to_owned)
     }
 
-    /// Tells whether a load came for which there was no room.
+    /// Returns whether a load did not fit into the memory.
     pub(crate) fn exceeded_memory(&self) -> bool {
         self.state().exceeded_memory
     }
 
-    /// The next so many loads take effect and their answers are lost.
+    /// Makes the next `n` loads take effect without a reply.
     pub(crate) fn lose_loads(&self, n: u32) {
         self.state().lose_loads = n;
     }
 
-    /// The next so many loads are refused.
+    /// Makes the next `n` loads fail.
     pub(crate) fn fail_loads(&self, n: u32) {
         self.state().fail_loads = n;
     }
@@ -130,19 +130,19 @@
         self.state().load_time = time;
     }
 
-    /// Makes orders with lower fences stale.
+    /// Raises the fencing token, so that orders with a lower one are refused as stale.
     pub(crate) fn raise_fence(&self, fence: u64) {
         self.state().fence = fence;
     }
 
-    /// Returns the adapters held on a model.
+    /// Returns the number of adapters loaded on a model.
     pub(crate) fn adapters(&self, model: &str) -> usize {
         let state = self.state();
         let model = state.models.get(model);
         model.map_or(0, |m| m["adapters"].as_array().expect("a list").len())
     }
 
-    /// Loses all models, as a restart does.
+    /// Drops all models, as a restart does.
     pub(crate) fn restart(&self) {
         self.state().models.clear();
     }
--- a/crates/stair-agent/tests/common/entry.rs
+++ b/crates/stair-agent/tests/common/entry.rs
@@ -1,4 +1,4 @@
-//! An entry: the control streams it serves, and the requests it offers.
+//! A stand-in of an entry: its control streams, and the requests that it offers.
 
 use std::{
     net::SocketAddr,
@@ -58,7 +58,7 @@
     listener: Listener,
 }
 
-/// What agents said.
+/// What the entry has received from agents.
 #[derive(Default)]
 pub(crate) struct Received {
     pub(crate) hellos: Vec<Hello>,
@@ -91,12 +91,12 @@
         self.assignment.send_replace(Some(assignment));
     }
 
-    /// Ends the entry's links and takes no more.
+    /// Closes the entry's links and accepts no new ones.
     pub(crate) async fn end(&self) {
         self.listener.close().await;
     }
 
-    /// Tells whether an agent said something.
+    /// Returns whether any message of an agent meets a condition.
     pub(crate) fn has_received<F>(&self, condition: F) -> bool
     where
         F: Fn(&AgentControl) -> bool,
@@ -159,7 +159,7 @@
     }
 }
 
-/// One request's stream.
+/// The stream of one request.
 pub(crate) struct Stream {
     pub(crate) tx: SendStream,
     pub(crate) rx: RecvStream,
@@ -173,7 +173,7 @@
 }
 
 impl Stream {
-    /// Offers a completion and reads nothing yet.
+    /// Offers a completion; reads no reply.
     pub(crate) async fn offer(link: &Link, id: u128, model: &str, stream: bool) -> Self {
         let body = serde_json::json!({"model": model, "stream": stream}).to_string();
         let offer = Offer {
@@ -232,8 +232,8 @@
     pub(crate) async fn next(&mut self) -> Frame<FromAgent> {
         tokio::time::timeout(LIMIT, frame::read(&mut self.rx))
             .await
-            .expect("a frame comes in time")
-            .expect("the stream lives")
+            .expect("a frame arrives in time")
+            .expect("the stream is open")
     }
 
     /// Reads until the request is ready.
@@ -247,13 +247,13 @@
         }
     }
 
-    /// Waits until the agent is ready, and says that the work may start.
+    /// Waits until the request is ready, and starts it.
     pub(crate) async fn start(&mut self) {
         self.ready().await;
         self.write(ToAgent::Start).await;
     }
 
-    /// Starts the request once it is ready, and reads until its end.
+    /// Starts the request once it is ready, and reads to its end.
     pub(crate) async fn finish(&mut self) -> Outcome {
         let (mut status_now, mut body) = (0, Vec::new());
         loop {
@@ -285,7 +285,7 @@
     pub(crate) fn body(self) -> String {
         match self {
             Self::Response { status: 200, body } => String::from_utf8(body).expect("text"),
-            other => panic!("not answered but {other:?}"),
+            other => panic!("no response but {other:?}"),
         }
     }
 }
--- a/crates/stair-agent/tests/common/mod.rs
+++ b/crates/stair-agent/tests/common/mod.rs
@@ -1,5 +1,5 @@
-//! Small fakes around one agent: a store, an engine, an entry.
-// Each test file uses a part of these, so `expect` would fail in some.
+//! Stand-ins around one agent: a store, an engine and an entry.
+// Each test file uses some of them, so `expect(dead_code)` would fail in others.
 #![allow(dead_code)]
 
 pub(crate) mod engine;
@@ -59,7 +59,7 @@
 use entry::FakeEntry;
 use stair_standin::memory::MemoryStore;
 
-/// The longest wait for anything; reached only when a test fails.
+/// Timeout of every wait, which only a failing test reaches.
 pub(crate) const LIMIT: Duration = Duration::from_secs(20);
 
 pub(crate) const MEMORY_MIB: u32 = 1000;
@@ -72,7 +72,7 @@
     ModelName::try_from(name).expect("a name")
 }
 
-/// Everything around one agent.
+/// The stand-ins around one agent, and its settings.
 pub(crate) struct World {
     pub(crate) authority: Authority,
     pub(crate) store: MemoryStore,
@@ -86,7 +86,7 @@
 }
 
 impl World {
-    /// Starts the fakes; every model named takes 400 of 1000 MiB and is granted.
+    /// Starts the stand-ins. Each named model takes 400 of 1000 MiB and is granted.
     pub(crate) async fn new(models: &[&str]) -> Self {
         let authority = Authority::generate().expect("keys can be made");
         let entry = FakeEntry::start(&authority);
@@ -113,7 +113,7 @@
         world
     }
 
-    /// Writes the grants into the store and tells the entry.
+    /// Writes the grants into the store and sends the new assignment.
     pub(crate) fn write_grants(&mut self) {
         for shard in 0..SHARDS {
             let of_shard = self.grants.iter();
@@ -189,12 +189,12 @@
     }
 }
 
-/// Puts an entry on the platform's list of VMs.
 fn version_of(store: &MemoryStore, shard: u16) -> u64 {
     let object = store.object(Kind::Grants, &shard.to_string());
     object.map_or(0, |o| o.version)
 }
 
+/// Adds an entry to the platform's list of VMs.
 pub(crate) fn list_entry(store: &MemoryStore, name: &str, entry: &FakeEntry) {
     let vm = Vm {
         role: VmRole::Entry {
@@ -228,14 +228,14 @@
     }
 }
 
-/// Waits until the agent's state is as wanted, and returns it.
+/// Waits until the agent's state dump meets a condition, and returns the dump.
 pub(crate) async fn until<F>(agent: &Agent, condition: F) -> Dump
 where
     F: Fn(&Dump) -> bool,
 {
     let reached = async {
         loop {
-            let dump = agent.dump().await.expect("the agent lives");
+            let dump = agent.dump().await.expect("the agent is running");
             if condition(&dump) {
                 return dump;
             }
@@ -247,7 +247,7 @@
         .expect("the state is reached in time")
 }
 
-/// Waits until something holds that is not the agent's.
+/// Waits until a condition outside the agent holds.
 pub(crate) async fn eventually<F>(condition: F)
 where
     F: Fn() -> bool,
--- a/crates/stair-agent/tests/control_links.rs
+++ b/crates/stair-agent/tests/control_links.rs
@@ -1,4 +1,4 @@
-//! The agent's links to two entries.
+//! The agent's control links to two entries.
 
 mod common;
 
@@ -12,8 +12,8 @@
     list_entry, //
 };
 
-// An entry's VM goes away. Its agents have to find another entry, or a configuration change would
-// never be in force at them once their second entry goes too.
+// An entry's VM is removed, and its agents have to open a link to another entry. Otherwise, once
+// their second entry is removed too, no configuration change would reach them.
 #[tokio::test(flavor = "multi_thread")]
 async fn entry_replaced() {
     let world = World::new(&["m1"]).await;
@@ -27,15 +27,15 @@
     let before = agent.linked();
 
     let named = [("e1", &world.entry), ("e2", &others[0]), ("e3", &others[1])];
-    let gone = named.iter().find(|(name, _)| before[0].as_str() == *name);
-    gone.expect("a known entry").1.end().await;
+    let removed = named.iter().find(|(name, _)| before[0].as_str() == *name);
+    removed.expect("a known entry").1.end().await;
 
     let new = |l: &[stair_types::EntryName]| l.len() == 2 && !l.contains(&before[0]);
     eventually(|| new(&agent.linked())).await;
 }
 
-// The agent's VM comes up before any entry does, as after a loss of power. Nothing is served until
-// it has found one, and nobody starts it again.
+// The agent starts before any entry, as after a power failure. It serves nothing until it finds an
+// entry, which it has to do without a restart.
 #[tokio::test(flavor = "multi_thread")]
 async fn entry_comes_later() {
     let mut world = World::new(&["m1"]).await;
--- a/crates/stair-agent/tests/engine_faults.rs
+++ b/crates/stair-agent/tests/engine_faults.rs
@@ -1,4 +1,4 @@
-//! Orders to an engine that fails.
+//! Orders to a failing engine.
 
 mod common;
 
@@ -22,8 +22,8 @@
     Work, //
 };
 
-// The engine loads a model and its answer is lost. A second load of it would be refused or take
-// the memory twice; treating it as not loaded would let another model overfill the accelerator.
+// The engine loads a model and its reply is lost. A second load would be refused or take the memory
+// twice; if the model counted as not loaded, another one would overfill the accelerator.
 #[tokio::test(flavor = "multi_thread")]
 async fn lost_load_reconciled() {
     let mut world = World::new(&["m1", "m2"]).await;
@@ -36,13 +36,13 @@
 
     assert_eq!(ended.body(), r#"{"text":"done"}"#);
     assert_eq!(world.engine.loads(), 1);
-    let dump = agent.dump().await.expect("lives");
+    let dump = agent.dump().await.expect("the agent is running");
     assert!(!dump.in_doubt);
     assert_eq!(dump.ledger.taken_mib(), 400);
 }
 
-// The engine's process is restarted and holds nothing any more. Requests that wait for the model
-// should be served after a new load, and the one that found out has surely not run.
+// The engine's process restarts and loses all models. The first request after that is refused as
+// not run, and later ones are served after a new load.
 #[tokio::test(flavor = "multi_thread")]
 async fn engine_restarts() {
     let world = World::new(&["m1"]).await;
@@ -59,8 +59,8 @@
     assert_eq!(world.engine.loads(), 2);
 }
 
-// A checkpoint cannot be read. Its callers have to be told soon that nothing ran, rather than wait
-// until their deadlines.
+// A checkpoint cannot be read, and each load fails. The waiting requests have to be refused as not
+// run well before their deadlines.
 #[tokio::test(flavor = "multi_thread")]
 async fn load_keeps_failing() {
     let world = World::new(&["m1"]).await;
@@ -74,11 +74,19 @@
     assert_eq!(refusal.reason, Reason::LoadFailed);
     assert_eq!(refusal.verdict, Verdict::NotRun);
     assert!(refusal.retry_after_ms > 0);
-    assert_eq!(agent.dump().await.expect("lives").ledger.taken_mib(), 0);
+    assert_eq!(
+        agent
+            .dump()
+            .await
+            .expect("the agent is running")
+            .ledger
+            .taken_mib(),
+        0
+    );
 }
 
-// A later agent of the same target has ordered the engine, while this one was paused or cut off.
-// Two agents that order one engine would overfill its memory.
+// A newer agent of the target has sent orders to the engine while this one was paused or cut off.
+// If this one continued, two agents would send orders to one engine and overfill its memory.
 #[tokio::test(flavor = "multi_thread")]
 async fn superseded_ends() {
     let world = World::new(&["m1"]).await;
@@ -130,7 +138,7 @@
 
     assert_eq!(ended.body(), r#"{"text":"done"}"#);
     assert_eq!(world.engine.adapters("m1"), 1);
-    // Both others need the room of the base model, which goes after its adapter.
+    // The other two models fit only once the base model is unloaded, which follows its adapter.
     for (id, name) in [(2, "m2"), (3, "m3")] {
         let ended = Stream::offer(&link, id, name, false).await.finish().await;
         assert_eq!(ended.body(), r#"{"text":"done"}"#);
--- a/crates/stair-agent/tests/grants.rs
+++ b/crates/stair-agent/tests/grants.rs
@@ -1,4 +1,4 @@
-//! Grants are given back only when the engine surely holds the model no longer.
+//! Grants are released only after the engine has unloaded the model.
 
 mod common;
 
@@ -21,9 +21,9 @@
     }
 }
 
-// The grant of a model is taken back while a request runs on it. If the agent said that it was
-// free before the engine has unloaded it, another target would load it meanwhile and the model
-// would be there more often than was decided.
+// The grant of a model is revoked while a request runs on it. If the agent released the grant
+// before the engine had unloaded the model, another target would load it, and the model would have
+// more replicas than declared.
 #[tokio::test(flavor = "multi_thread")]
 async fn revoke_unloads_first() {
     let mut world = World::new(&["m1"]).await;
@@ -56,9 +56,9 @@
     assert!(world.engine.models().is_empty());
 }
 
-// An agent gives a grant back, the platform removes it, and the agent's process is started again.
-// An entry that lags still lists the old grant. Without the versions read at the start the new
-// process would take it and load a model that another target holds by now.
+// An agent releases a grant, the platform removes it, and the agent's process is restarted. A
+// lagging entry still lists the grant. Without the shard versions read at the start the new process
+// would apply it and load a model that has since been granted to another target.
 #[tokio::test(flavor = "multi_thread")]
 async fn stale_after_restart() {
     let mut world = World::new(&["m1"]).await;
@@ -75,8 +75,8 @@
     assert_eq!(world.engine.loads(), 0);
 }
 
-// Two agents' worth of history: the platform said that the grant is revoking while no agent ran.
-// The engine still holds the model from before.
+// A grant is revoked while no agent of the target runs, and the engine still has the model loaded
+// from the stale incarnation. The new agent has to unload the model and release the grant.
 #[tokio::test(flavor = "multi_thread")]
 async fn revoked_while_down() {
     let mut world = World::new(&["m1"]).await;
--- a/crates/stair-agent/tests/lifecycle.rs
+++ b/crates/stair-agent/tests/lifecycle.rs
@@ -1,4 +1,4 @@
-//! Starts and stops of agents.
+//! Start and graceful stop of agents.
 
 mod common;
 
@@ -42,8 +42,8 @@
     assert_eq!(second.linked().len(), 1);
 }
 
-// The platform writes the new incarnation and its answer is lost, after it was down for a while.
-// An agent that wrote again would come to another number than entries have read; one that gave up
+// The platform is unavailable at first, then writes the new incarnation and loses its reply. An
+// agent that wrote again would use another token than the entries have read; an agent that stopped
 // would leave its target unused.
 #[tokio::test(flavor = "multi_thread")]
 async fn lost_put_reconciled() {
@@ -57,8 +57,8 @@
     assert_eq!(record(&world).token, FencingToken(1));
 }
 
-// The operator starts a second agent of a target by mistake, or a supervisor restarts one that
-// is merely paused. Both would order the engine.
+// The operator starts a second agent of a target by mistake, or a supervisor replaces one that is
+// only paused. Both would send orders to the engine.
 #[tokio::test(flavor = "multi_thread")]
 async fn second_agent_refused() {
     let world = World::new(&["m1"]).await;
@@ -71,8 +71,8 @@
     assert_eq!(record(&world).token, first.incarnation());
 }
 
-// A VM is to be taken away while requests run and wait there. What runs has to be finished, and
-// what waits has to go elsewhere at once, with the certainty that it has not run.
+// A VM is drained while requests run and wait there. Running requests have to be finished, and
+// waiting ones refused at once as not run, so that another target serves them.
 #[tokio::test(flavor = "multi_thread")]
 async fn stop_finishes_running() {
     let mut world = World::new(&["m1"]).await;
@@ -90,7 +90,10 @@
     let stopped = tokio::spawn(agent.stop());
     let refusal = waiting.finish().await.refusal();
     let late = Stream::offer(&link, 3, "m1", false).await.finish().await;
-    assert!(!stopped.is_finished(), "the running request was cut");
+    assert!(
+        !stopped.is_finished(),
+        "the running request was interrupted"
+    );
     world.engine.open.send_replace(true);
 
     assert_eq!(refusal.reason, Reason::Leaving);
@@ -102,8 +105,8 @@
     assert!(world.entry.has_received(leaving));
 }
 
-// An idle agent stops. Nothing holds it up, and its entries have to hear that it leaves, or they
-// offer it requests until the platform's list says so.
+// An idle agent stops, and nothing delays it. It has to report its drain to its entries before its
+// links close, or they offer it requests until the platform's list changes.
 #[tokio::test(flavor = "multi_thread")]
 async fn idle_announces_drain() {
     let world = World::new(&["m1"]).await;
--- a/crates/stair-agent/tests/once.rs
+++ b/crates/stair-agent/tests/once.rs
@@ -1,4 +1,4 @@
-//! A request runs at most once, and its answer survives its link.
+//! A request runs at most once, and its response survives a broken link.
 
 mod common;
 
@@ -23,9 +23,9 @@
     }, //
 };
 
-// The entry sends `Start`, and its link breaks before the answer comes. The entry cannot tell
-// whether `Start` arrived, so it resumes, and a confused one offers the request again. If either
-// ran it a second time, the caller would pay twice.
+// The entry sends `Start`, and its link breaks before the response arrives. The entry does not know
+// whether `Start` arrived, so it resumes; a faulty one also offers the request again. If either ran
+// the request a second time, the caller would pay twice.
 #[tokio::test(flavor = "multi_thread")]
 async fn starts_once() {
     let world = World::new(&["m1"]).await;
@@ -48,9 +48,9 @@
     assert_eq!(world.engine.runs().len(), 1);
 }
 
-// A connection between entry and agent goes silent in the middle of a streamed answer. The entry
-// opens a new link and asks for the rest. The caller should see the whole answer, no byte of it
-// twice or missing, and pay for one run.
+// The link between entry and agent breaks in the middle of a streamed response, and the entry
+// resumes the rest on a new link. The caller has to receive the whole response, no byte of it twice
+// or missing, and pay for one run.
 #[tokio::test(flavor = "multi_thread")]
 async fn resumes_at_offset() {
     let world = World::new(&["m1"]).await;
@@ -65,7 +65,7 @@
         Frame::Message(FromAgent::Head { offset: 0, .. })
     ));
     let Frame::Body(first) = stream.next().await else {
-        panic!("no body came");
+        panic!("no body frame arrived");
     };
 
     link.close();
@@ -75,11 +75,11 @@
     world.engine.second_half.send_replace(true);
 
     let Frame::Message(FromAgent::Head { offset: from, .. }) = resumed.next().await else {
-        panic!("no head came");
+        panic!("no head arrived");
     };
     assert_eq!(from, offset);
     let Frame::Body(rest) = resumed.next().await else {
-        panic!("no body came");
+        panic!("no body frame arrived");
     };
     assert_eq!([first, rest].concat(), b"data: one\n\ndata: two\n\n");
     let end = resumed.next().await;
@@ -93,9 +93,9 @@
     assert_eq!(world.engine.runs().len(), 1);
 }
 
-// The link breaks after `Ready`, and `Start` may be under way on it. The entry asks on a new link,
-// hears that nothing ran, and sends the request to another target. A `Start` that still came
-// through afterwards must run nothing here, or the request would run at both.
+// The link breaks after `Ready`, with `Start` possibly in flight on it. The entry resumes on a new
+// link, receives that the request did not run, and sends it to another target. If a `Start` that
+// arrives afterwards ran it here, the request would run at both targets.
 #[tokio::test(flavor = "multi_thread")]
 async fn resume_withdraws() {
     let world = World::new(&["m1"]).await;
@@ -115,8 +115,8 @@
     assert!(world.engine.runs().is_empty());
 }
 
-// The agent was replaced while a request ran. The new one knows nothing of the run, and "not run"
-// would let the entry send it elsewhere although the engine may have run it.
+// The agent is replaced while a request runs. The new agent has no record of the run, and a "not
+// run" verdict would let the entry send the request elsewhere although the engine may have run it.
 #[tokio::test(flavor = "multi_thread")]
 async fn other_incarnation() {
     let world = World::new(&["m1"]).await;
@@ -130,8 +130,8 @@
     assert_eq!(refusal.reason, Reason::LinkLost);
 }
 
-// An entry dies while its requests wait and run. Nobody will take up their answers, and without
-// an end they would keep the engine's slots from other callers.
+// An entry fails while its request runs, and no entry resumes the response. If the run did not end
+// after a while, it would withhold the engine's slot from other callers.
 #[tokio::test(flavor = "multi_thread")]
 async fn nobody_resumes() {
     let mut world = World::new(&["m1"]).await;
@@ -148,7 +148,8 @@
     until(&agent, |d| d.running.is_empty() && d.responses == 0).await;
 }
 
-// The entry says `Cancel`, because its caller went away, while the engine computes.
+// The entry sends `Cancel` during a run because its caller has disconnected. The run has to end and
+// free its slot.
 #[tokio::test(flavor = "multi_thread")]
 async fn cancel_frees_slot() {
     let world = World::new(&["m1"]).await;
@@ -166,8 +167,8 @@
     until(&agent, |d| d.running.is_empty()).await;
 }
 
-// An entry is paused between `Ready` and `Start`. The slot must not stay empty for as long as the
-// pause lasts, and the entry must learn for certain that nothing ran.
+// An entry is paused between `Ready` and `Start`. The slot must not stay idle for the whole pause,
+// and the entry must receive that the request did not run.
 #[tokio::test(flavor = "multi_thread")]
 async fn start_too_late() {
     let world = World::new(&["m1"]).await;
@@ -177,7 +178,7 @@
     stream.ready().await;
 
     let Frame::Message(FromAgent::Refused { refusal, .. }) = stream.next().await else {
-        panic!("no refusal came");
+        panic!("no refusal arrived");
     };
 
     assert_eq!(refusal.verdict, Verdict::NotRun);
--- a/crates/stair-agent/tests/queue.rs
+++ b/crates/stair-agent/tests/queue.rs
@@ -1,4 +1,4 @@
-//! What waits, and what is refused instead.
+//! Which requests wait, and which are refused.
 
 mod common;
 
@@ -43,6 +43,7 @@
 
 const BODY: &[u8] = br#"{"model":"m1","n":1}"#;
 
+/// Starts an agent whose engine has one slot, and occupies the slot with a running request.
 async fn occupied(world: &mut World) -> (stair_agent::Agent, stair_link::Link, Stream) {
     world.policy.engine_concurrency = 1;
     world.write_grants();
@@ -56,8 +57,8 @@
     (agent, link, running)
 }
 
-// All callers of a cold model have less time than a load is thought to take. Each is refused, and
-// if nobody's request ever loaded it, none would be served for ever.
+// The deadlines of all requests for a model that is not loaded are shorter than its expected load
+// time, so each is refused. If a refusal did not trigger a load, the model would never be served.
 #[tokio::test(flavor = "multi_thread")]
 async fn refusal_triggers_load() {
     let world = World::new(&["m1"]).await;
--- a/crates/stair-agent/tests/serve.rs
+++ b/crates/stair-agent/tests/serve.rs
@@ -1,4 +1,4 @@
-//! The way of a request through the agent.
+//! Requests that the agent serves, with and without a load.
 
 mod common;
 
@@ -80,7 +80,7 @@
     let agent = world.agent().await;
     let link = world.entry.link(&agent).await;
 
-    // Two of the four models fit, and all are asked for in turn and at once.
+    // Two of the four models fit, and concurrent requests need all of them.
     let mut tasks = tokio::task::JoinSet::new();
     for id in 0..40 {
         let link = link.clone();
@@ -92,6 +92,9 @@
     }
 
     assert_eq!(tasks.join_all().await.len(), 40);
-    assert!(!world.engine.exceeded_memory(), "a load had no room");
+    assert!(
+        !world.engine.exceeded_memory(),
+        "a load exceeded the engine's memory"
+    );
     assert!(world.engine.loads() >= 4);
 }
