--- a/crates/stair-agent/src/control.rs
+++ b/crates/stair-agent/src/control.rs
@@ -217,7 +217,9 @@
         let keep_alive = Keep::new(keep_alive_options(&args.in_force));
         let queue_opts = queue_options(&args.in_force, &args.limits);
         let unconfirmed = match args.engine {
-            Some(_) if args.incarnation > FIRST_INCARNATION => UnconfirmedOrders::of_predecessor(),
+            Some(_) if args.incarnation > FIRST_INCARNATION => {
+                UnconfirmedOrders::of_stale_incarnation()
+            }
             _ => UnconfirmedOrders::default(),
         };
         Self {
@@ -375,8 +377,8 @@
     /// Stops the agent because a newer incarnation has sent orders to the engine. Further orders of
     /// this one would invalidate the newer agent's ledger.
     pub(crate) fn stop_superseded(&mut self) {
-        let why = "a newer agent of the target controls the engine";
-        self.args.published.fatal.send_replace(Some(why.into()));
+        let reason = "a newer agent of the target controls the engine";
+        self.args.published.fatal.send_replace(Some(reason.into()));
         self.start_draining();
     }
 
--- a/crates/stair-agent/src/items.rs
+++ b/crates/stair-agent/src/items.rs
@@ -8,10 +8,10 @@
 
 /// Expected run time before the first observation. A longer one would refuse the first requests
 /// needlessly.
-const DEFAULT_RUN: Duration = Duration::from_millis(200);
+const DEFAULT_RUN_TIME: Duration = Duration::from_millis(200);
 
 /// Expected load time before the first observation.
-const DEFAULT_LOAD: Duration = Duration::from_secs(2);
+const DEFAULT_LOAD_TIME: Duration = Duration::from_secs(2);
 
 /// Moving averages of the observations of one key.
 #[derive(Debug, Clone, Default)]
@@ -64,7 +64,7 @@
         by_tokens
             .or(estimates.run)
             .or(self.mean_run)
-            .unwrap_or(DEFAULT_RUN)
+            .unwrap_or(DEFAULT_RUN_TIME)
     }
 
     /// Records the time of a complete run.
@@ -81,7 +81,7 @@
     pub fn expected_load(&self, item: &Item) -> Duration {
         let known = self.find(Some(item)).ok().map(|i| self.sorted[i]);
         let estimates = known.and_then(|k| self.estimates[k.0 as usize].load);
-        estimates.or(self.mean_load).unwrap_or(DEFAULT_LOAD)
+        estimates.or(self.mean_load).unwrap_or(DEFAULT_LOAD_TIME)
     }
 
     /// Records the time of a load.
--- a/crates/stair-agent/src/loads.rs
+++ b/crates/stair-agent/src/loads.rs
@@ -69,15 +69,15 @@
             return;
         }
         let entries = self.ledger.entries().iter();
-        let wrong = entries.filter(|e| {
+        let mismatched = entries.filter(|e| {
             let spec = declared(&self.in_force, &e.item);
             spec.is_none_or(|(version, _)| *e.version != *version)
         });
-        let unwanted: Vec<Item> = wrong
+        let undeclared: Vec<Item> = mismatched
             .filter(|e| e.state == State::Loaded && !self.usage(&e.item).busy)
             .map(|e| e.item.clone())
             .collect();
-        for item in unwanted {
+        for item in undeclared {
             self.unload_group(&item);
         }
     }
@@ -196,8 +196,8 @@
         if self.ledger.is_loaded(item) {
             return Duration::ZERO;
         }
-        let began = self.loading.iter().find(|(other, _)| other == item);
-        let passed = began.map_or(Duration::ZERO, |(_, at)| self.now() - *at);
+        let started = self.loading.iter().find(|(other, _)| other == item);
+        let passed = started.map_or(Duration::ZERO, |(_, at)| self.now() - *at);
         self.items.expected_load(item).saturating_sub(passed)
     }
 
@@ -209,8 +209,8 @@
             return self.try_load(&base(item), rank, deadline);
         }
         let now = self.now();
-        let waits = |f: &Failure| f.item == *item && f.retry_at > now;
-        if self.failures.iter().any(waits) {
+        let retries_later = |f: &Failure| f.item == *item && f.retry_at > now;
+        if self.failures.iter().any(retries_later) {
             return true;
         }
         let Some((version, memory_mib)) = declared(&self.in_force, item) else {
--- a/crates/stair-agent/src/orders.rs
+++ b/crates/stair-agent/src/orders.rs
@@ -31,9 +31,9 @@
 };
 
 /// Retry delay after the first failed load. It doubles with each further failure up to
-/// [`MAX_RETRY`].
-const MIN_RETRY: Duration = Duration::from_millis(500);
-const MAX_RETRY: Duration = Duration::from_secs(5);
+/// [`MAX_RETRY_DELAY`].
+const MIN_RETRY_DELAY: Duration = Duration::from_millis(500);
+const MAX_RETRY_DELAY: Duration = Duration::from_secs(5);
 
 /// Consecutive failed loads after which all requests that wait for the model are refused, while
 /// there is time to serve them at another target.
@@ -149,8 +149,8 @@
             Some(i) => self.failures.swap_remove(i).count + 1,
             None => 1,
         };
-        let doubled = MIN_RETRY * 2_u32.saturating_pow(count - 1).min(64);
-        let retry_at = now + doubled.min(MAX_RETRY);
+        let doubled = MIN_RETRY_DELAY * 2_u32.saturating_pow(count - 1).min(64);
+        let retry_at = now + doubled.min(MAX_RETRY_DELAY);
         self.failures.push(Failure {
             item: item.clone(),
             count,
@@ -179,7 +179,7 @@
 
     fn refuse_failed(&mut self, removed: Vec<RequestId>, message: &str) {
         for id in removed {
-            let retry = u32::try_from(MAX_RETRY.as_millis()).unwrap_or(u32::MAX);
+            let retry = u32::try_from(MAX_RETRY_DELAY.as_millis()).unwrap_or(u32::MAX);
             let refusal = Refusal::not_run(Reason::LoadFailed, retry, message);
             self.refuse_id(id, refusal);
         }
--- a/crates/stair-agent/src/reconcile.rs
+++ b/crates/stair-agent/src/reconcile.rs
@@ -36,7 +36,7 @@
 
 impl UnconfirmedOrders {
     /// Returns the orders that a stale incarnation of the agent may have sent.
-    pub(crate) fn of_predecessor() -> Self {
+    pub(crate) fn of_stale_incarnation() -> Self {
         Self {
             until: Some(UNCONFIRMED_WINDOW),
             items: Vec::new(),
--- a/crates/stair-agent/src/start.rs
+++ b/crates/stair-agent/src/start.rs
@@ -322,11 +322,11 @@
         let linked = self.cx.linked.subscribe();
         let mut control_links = tokio::spawn(control_links::run(self.cx));
         let mut fatal = self.published.fatal.subscribe();
-        let why = tokio::select! {
-            why = fatal.wait_for(Option::is_some) => why.ok().and_then(|w| w.clone()),
+        let reason = tokio::select! {
+            reason = fatal.wait_for(Option::is_some) => reason.ok().and_then(|w| w.clone()),
             _ = stop.wait_for(|s| *s) => None,
         };
-        if why.is_none() {
+        if reason.is_none() {
             let _ = control.send_message(Msg::Stop);
             drain(&self.published).await;
             wait_for_release(&self.published, &linked).await;
@@ -349,8 +349,8 @@
         close.send_replace(true);
         let _ = operator.await;
         drop(self.lock);
-        match why {
-            Some(why) => Err(anyhow::anyhow!("agent: {why}")),
+        match reason {
+            Some(reason) => Err(anyhow::anyhow!("agent: {reason}")),
             None => Ok(()),
         }
     }
--- a/crates/stair-agent/tests/common/entry.rs
+++ b/crates/stair-agent/tests/common/entry.rs
@@ -47,7 +47,7 @@
 };
 use tokio::sync::watch;
 
-use super::LIMIT;
+use super::WAIT_TIMEOUT;
 
 #[derive(Clone)]
 pub(crate) struct FakeEntry {
@@ -230,7 +230,7 @@
     }
 
     pub(crate) async fn next(&mut self) -> Frame<FromAgent> {
-        tokio::time::timeout(LIMIT, frame::read(&mut self.rx))
+        tokio::time::timeout(WAIT_TIMEOUT, frame::read(&mut self.rx))
             .await
             .expect("a frame arrives in time")
             .expect("the stream is open")
--- a/crates/stair-agent/tests/common/mod.rs
+++ b/crates/stair-agent/tests/common/mod.rs
@@ -60,7 +60,7 @@
 use stair_standin::memory::MemoryStore;
 
 /// Timeout of every wait, which only a failing test reaches.
-pub(crate) const LIMIT: Duration = Duration::from_secs(20);
+pub(crate) const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
 
 pub(crate) const MEMORY_MIB: u32 = 1000;
 
@@ -242,7 +242,7 @@
             tokio::time::sleep(Duration::from_millis(5)).await;
         }
     };
-    tokio::time::timeout(LIMIT, reached)
+    tokio::time::timeout(WAIT_TIMEOUT, reached)
         .await
         .expect("the state is reached in time")
 }
@@ -257,7 +257,7 @@
             tokio::time::sleep(Duration::from_millis(5)).await;
         }
     };
-    tokio::time::timeout(LIMIT, reached)
+    tokio::time::timeout(WAIT_TIMEOUT, reached)
         .await
         .expect("the condition holds in time");
 }
--- a/crates/stair-agent/tests/control_links.rs
+++ b/crates/stair-agent/tests/control_links.rs
@@ -37,7 +37,7 @@
 // The agent starts before any entry, as after a power failure. It serves nothing until it finds an
 // entry, which it has to do without a restart.
 #[tokio::test(flavor = "multi_thread")]
-async fn entry_comes_later() {
+async fn entry_starts_later() {
     let mut world = World::new(&["m1"]).await;
     world.entry.end().await;
     let agent = world.start().await.expect("starts");
--- a/crates/stair-agent/tests/engine_faults.rs
+++ b/crates/stair-agent/tests/engine_faults.rs
@@ -96,7 +96,7 @@
 
     let _stream = Stream::offer(&link, 1, "m1", false).await;
     let (_stop, stopping) = tokio::sync::watch::channel(false);
-    let ended = tokio::time::timeout(common::LIMIT, agent.run_until(stopping)).await;
+    let ended = tokio::time::timeout(common::WAIT_TIMEOUT, agent.run_until(stopping)).await;
 
     assert!(ended.expect("ends in time").is_err());
     assert!(world.engine.models().is_empty());
--- a/crates/stair-agent/tests/once.rs
+++ b/crates/stair-agent/tests/once.rs
@@ -133,7 +133,7 @@
 // An entry fails while its request runs, and no entry resumes the response. If the run did not end
 // after a while, it would withhold the engine's slot from other callers.
 #[tokio::test(flavor = "multi_thread")]
-async fn nobody_resumes() {
+async fn unresumed_run_ends() {
     let mut world = World::new(&["m1"]).await;
     world.limits.keep_answer_ms = 100;
     world.engine.open.send_replace(false);
--- a/crates/stair-agent/tests/serve.rs
+++ b/crates/stair-agent/tests/serve.rs
@@ -75,7 +75,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn memory_never_over() {
+async fn memory_never_exceeded() {
     let world = World::new(&["m1", "m2", "m3", "m4"]).await;
     let agent = world.agent().await;
     let link = world.entry.link(&agent).await;
