--- a/crates/stair-agent/src/refuse.rs
+++ b/crates/stair-agent/src/refuse.rs
@@ -24,7 +24,7 @@
 
 impl Core {
     /// Refuses waiting requests that can no longer finish before their deadlines, so that their
-    /// callers need not wait for these.
+    /// callers are informed at once.
     pub(crate) fn expire(&mut self) {
         let now = self.now();
         for id in self.queue.expire(now) {
--- a/crates/stair-wire/src/request.rs
+++ b/crates/stair-wire/src/request.rs
@@ -138,7 +138,7 @@
         load: Load,
     },
     /// The request holds a slot of the target. The agent refuses it unless [`ToAgent::Start`]
-    /// follows within a short timeout.
+    /// follows shortly after.
     Ready,
     /// The head of the target's response.
     Head {
