--- a/crates/stair-agent/src/control.rs
+++ b/crates/stair-agent/src/control.rs
@@ -17,7 +17,7 @@
     ActorRef, //
 };
 use stair_policy::{
-    keep::Keep,
+    keep_alive::KeepAlive,
     queue::{
         Options,
         Queue, //
@@ -146,7 +146,7 @@
     pub(crate) failures: Vec<Failure>,
     /// Loads in progress, with their start times.
     pub(crate) loading: Vec<(Item, Duration)>,
-    pub(crate) keep_alive: Keep,
+    pub(crate) keep_alive: KeepAlive,
     /// When metrics were last emitted.
     pub(crate) metrics_emitted: Duration,
     /// Items to load on demand, whose requests were refused because the load takes too long, with
@@ -214,7 +214,7 @@
 
 impl Core {
     fn new(me: ActorRef<Msg>, args: Arguments) -> Self {
-        let keep_alive = Keep::new(keep_alive_options(&args.in_force));
+        let keep_alive = KeepAlive::new(keep_alive_options(&args.in_force));
         let queue_opts = queue_options(&args.in_force, &args.limits);
         let unconfirmed = match args.engine {
             Some(_) if args.incarnation > FIRST_INCARNATION => {
--- a/crates/stair-sidecar/src/quarantine.rs
+++ b/crates/stair-sidecar/src/quarantine.rs
@@ -17,7 +17,7 @@
     quarantine::{
         Ledger,
         Notice,
-        SETTLE_TIME,
+        SETTLE_DELAY,
         Standing,
         ToLedger,
         ToWatchlist, //
@@ -66,7 +66,7 @@
         let mut inner = self.lock();
         let known = inner.ledger.notices(now);
         if !known.is_empty() {
-            self.tell(&tx, &known);
+            self.send(&tx, &known);
         }
         inner.links.push((key, tx));
     }
@@ -76,7 +76,7 @@
         let now = self.now();
         let mut inner = self.lock();
         inner.links.retain(|(k, _)| *k != key);
-        inner.ledger.owner_gone(key.0, now);
+        inner.ledger.owner_disconnected(key.0, now);
     }
 
     /// Takes in what an entry says; `tx` goes to that entry.
@@ -87,7 +87,7 @@
                 self.lock().ledger.report(&crash, now);
                 let own = self.clone();
                 tokio::spawn(async move {
-                    sleep(SETTLE_TIME).await;
+                    sleep(SETTLE_DELAY).await;
                     own.settle();
                 });
             }
@@ -116,9 +116,9 @@
             } => {
                 let mut inner = self.lock();
                 let granted = inner.ledger.begin_trial(fingerprint, &target, key.0, now);
-                let answer = ToEntry::Quarantine(ToWatchlist::Trial { seq, granted });
+                let reply = ToEntry::Quarantine(ToWatchlist::Trial { seq, granted });
                 // An entry that does not read runs the request without the answer.
-                let _ = tx.try_send(answer);
+                let _ = tx.try_send(reply);
             }
             ToLedger::TrialEnded(fingerprint) => self.lock().ledger.end_trial(fingerprint, now),
         }
@@ -154,11 +154,11 @@
                 .count("quarantine_total", &[("standing", standing)], 1);
         }
         for (_, tx) in &inner.links {
-            self.tell(tx, new);
+            self.send(tx, new);
         }
     }
 
-    fn tell(&self, tx: &mpsc::Sender<ToEntry>, list: &[Notice]) {
+    fn send(&self, tx: &mpsc::Sender<ToEntry>, list: &[Notice]) {
         let msg = ToEntry::Quarantine(ToWatchlist::Known(list.to_vec()));
         // An entry that does not read is told all when its next link begins.
         if tx.try_send(msg).is_err() {
