--- a/crates/stair-agent/src/orders.rs
+++ b/crates/stair-agent/src/orders.rs
@@ -1,4 +1,4 @@
-//! Orders to the engine, and what follows from their answers.
+//! Orders to the engine and the handling of their outcomes.
 
 use std::time::Duration;
 
@@ -30,12 +30,13 @@
     msg::Msg, //
 };
 
-/// Pause after a first failed load; it doubles with each failure up to [`MAX_RETRY`].
-const MIN_RETRY: Duration = Duration::from_millis(500);
-const MAX_RETRY: Duration = Duration::from_secs(5);
+/// Retry delay after the first failed load. It doubles with each further failure up to
+/// [`MAX_RETRY_DELAY`].
+const MIN_RETRY_DELAY: Duration = Duration::from_millis(500);
+const MAX_RETRY_DELAY: Duration = Duration::from_secs(5);
 
-/// After so many failures in a row all that wait for the model are refused: another target may
-/// have better luck, and holding them would only use up their time.
+/// Consecutive failed loads after which all requests that wait for the model are refused, while
+/// there is time to serve them at another target.
 const MAX_FAILURES: u32 = 3;
 
 impl Core {
@@ -50,7 +51,7 @@
         let Some(engine) = self.args.engine.clone() else {
             return;
         };
-        stair_telemetry::info!(Part::Loads, "loads {} {version}", item.model);
+        stair_telemetry::info!(Part::Loads, "loading {} {version}", item.model);
         self.orders += 1;
         self.loads += 1;
         self.loading.push((item.clone(), self.now()));
@@ -81,7 +82,7 @@
         let Some(engine) = self.args.engine.clone() else {
             return;
         };
-        stair_telemetry::info!(Part::Loads, "unloads {}", item.model);
+        stair_telemetry::info!(Part::Loads, "unloading {}", item.model);
         self.orders += 1;
         let (me, item) = (self.me.clone(), item.clone());
         tokio::spawn(async move {
@@ -148,8 +149,8 @@
             Some(i) => self.failures.swap_remove(i).count + 1,
             None => 1,
         };
-        let doubled = MIN_RETRY * 2_u32.saturating_pow(count - 1).min(64);
-        let retry_at = now + doubled.min(MAX_RETRY);
+        let doubled = MIN_RETRY_DELAY * 2_u32.saturating_pow(count - 1).min(64);
+        let retry_at = now + doubled.min(MAX_RETRY_DELAY);
         self.failures.push(Failure {
             item: item.clone(),
             count,
@@ -178,7 +179,7 @@
 
     fn refuse_failed(&mut self, removed: Vec<RequestId>, message: &str) {
         for id in removed {
-            let retry = u32::try_from(MAX_RETRY.as_millis()).unwrap_or(u32::MAX);
+            let retry = u32::try_from(MAX_RETRY_DELAY.as_millis()).unwrap_or(u32::MAX);
             let refusal = Refusal::not_run(Reason::LoadFailed, retry, message);
             self.refuse_id(id, refusal);
         }
