--- a/crates/stair-entry/src/control/actor.rs
+++ b/crates/stair-entry/src/control/actor.rs
@@ -91,7 +91,7 @@
     /// Grants released by agents and not yet written.
     pub(super) releases: Vec<Release>,
     /// The version of the fleet at which no agent's record was left to delete.
-    pub(super) swept_fleet: Option<u64>,
+    pub(super) swept_fleet_version: Option<u64>,
 }
 
 /// The control actor of an entry, which handles [`Msg`].
@@ -135,7 +135,7 @@
             migrations: Migrations::default(),
             memory_pressure: MemoryPressure::default(),
             releases: Vec::new(),
-            swept_fleet: None,
+            swept_fleet_version: None,
         })
     }
 
--- a/crates/stair-entry/src/control/agents.rs
+++ b/crates/stair-entry/src/control/agents.rs
@@ -140,20 +140,20 @@
             let entries = &self.entries;
             let vm = self.state.vm_notice(&agent.hello.target);
             agent.outbox.send_if_modified(|out| {
-                let held = out.assignment.as_ref();
-                let assigned = held.is_none_or(|a| {
+                let current = out.assignment.as_ref();
+                let assignment_changed = current.is_none_or(|a| {
                     assignment::differs(a, &next) || is_between(agent.config, a.config, next.config)
                 });
-                if assigned {
+                if assignment_changed {
                     out.assignment = Some(Arc::new(next));
                 }
-                let moved = is_listed && !Arc::ptr_eq(&out.entries, entries);
-                if moved {
+                let entries_changed = is_listed && !Arc::ptr_eq(&out.entries, entries);
+                if entries_changed {
                     out.entries = entries.clone();
                 }
-                let noticed = out.vm != vm;
+                let vm_changed = out.vm != vm;
                 out.vm = vm;
-                assigned || moved || noticed
+                assignment_changed || entries_changed || vm_changed
             });
         }
     }
--- a/crates/stair-entry/src/control/memory_pressure.rs
+++ b/crates/stair-entry/src/control/memory_pressure.rs
@@ -119,24 +119,19 @@
             return;
         }
         let mut planner = Planner::new(&self.state);
-        for requested_move in std::mem::take(&mut self.memory_pressure.requested) {
-            if let Some(model) = self.model_to_move(&mut planner, &requested_move, now) {
+        for req in std::mem::take(&mut self.memory_pressure.requested) {
+            if let Some(model) = self.model_to_move(&mut planner, &req, now) {
                 info!(
                     Part::Grants,
                     "A grant of {model} moves to a target with free memory."
                 );
                 self.memory_pressure.moves.push(Move {
                     model,
-                    grant: requested_move.grant,
+                    grant: req.grant,
                     at: now,
                 });
                 let store = self.args.store.clone();
-                tokio::spawn(revoke(
-                    store,
-                    myself.clone(),
-                    requested_move.shard,
-                    requested_move.grant,
-                ));
+                tokio::spawn(revoke(store, myself.clone(), req.shard, req.grant));
             }
         }
     }
@@ -144,26 +139,26 @@
     fn model_to_move(
         &self,
         planner: &mut Planner,
-        requested_move: &RequestedMove,
+        req: &RequestedMove,
         now: Instant,
     ) -> Option<ModelName> {
-        let shard = self.state.shards.get(usize::from(requested_move.shard.0))?;
+        let shard = self.state.shards.get(usize::from(req.shard.0))?;
         let shard = shard.value.as_ref()?;
-        let grant = shard.grants.iter().find(|g| g.id == requested_move.grant)?;
+        let grant = shard.grants.iter().find(|g| g.id == req.grant)?;
         let model = self.state.config.catalogue.model(grant.model.as_str())?;
         let in_progress = |m: &&Move| shard.grants.iter().any(|g| g.id == m.grant);
-        let free = self
+        let below_limit = self
             .memory_pressure
             .moves
             .iter()
             .filter(in_progress)
             .count()
             < MAX_MOVES_IN_PROGRESS;
-        let allowed = !grant.revoking && free && self.memory_pressure.may_move(&model.name, now);
+        let allowed =
+            !grant.revoking && below_limit && self.memory_pressure.may_move(&model.name, now);
         let avoid = self.memory_pressure.targets_to_avoid();
-        let placed =
-            allowed && planner.has_other_target(shard, model, requested_move.grant, &avoid);
-        placed.then(|| model.name.clone())
+        let can_move = allowed && planner.has_other_target(shard, model, req.grant, &avoid);
+        can_move.then(|| model.name.clone())
     }
 }
 
--- a/crates/stair-entry/src/control/state.rs
+++ b/crates/stair-entry/src/control/state.rs
@@ -157,12 +157,12 @@
 impl State {
     /// Records that the state is complete up to a revision. Returns whether the revision advanced.
     pub fn advance_revision(&mut self, revision: u64) -> bool {
-        let later = revision > self.revision;
+        let is_newer = revision > self.revision;
         self.revision = revision.max(self.revision);
-        if later {
+        if is_newer {
             self.prune_deletions();
         }
-        later
+        is_newer
     }
 
     /// Returns whether the state is complete up to the version of a shard, so that the shard may be
@@ -180,12 +180,12 @@
     /// Both the configuration's own version and the platform's revision must be newer, since a peer
     /// may have replied with an old configuration.
     pub fn update_config(&mut self, config: Config) -> bool {
-        let later = config.manifest.version > self.config.manifest.version
+        let is_newer = config.manifest.version > self.config.manifest.version
             && version_of(&config) > version_of(&self.config);
-        if later {
+        if is_newer {
             self.config = config;
         }
-        later
+        is_newer
     }
 
     /// Replaces a shard by a newer version. Returns whether it was newer.
@@ -196,7 +196,7 @@
         value: Option<GrantShard>,
     ) -> bool {
         match self.shards.get_mut(usize::from(shard.0)) {
-            Some(held) => held.replace_if_newer(version, value),
+            Some(current) => current.replace_if_newer(version, value),
             None => false,
         }
     }
@@ -221,12 +221,15 @@
     /// Replaces a VM's line by a newer version, or by a deletion if there is no value. Returns whether
     /// it was newer.
     pub fn update_vm(&mut self, name: Box<str>, version: u64, value: Option<Vm>) -> bool {
-        let held = find_at(&self.vms, &name);
-        if self.is_pruned(version) && held.is_none() {
+        let current = find_at(&self.vms, &name);
+        if self.is_pruned(version) && current.is_none() {
             return false;
         }
-        let held = held.and_then(|i| self.vms[i].object.value.as_ref());
-        let of_entry = [held, value.as_ref()].into_iter().flatten().any(is_entry);
+        let current = current.and_then(|i| self.vms[i].object.value.as_ref());
+        let of_entry = [current, value.as_ref()]
+            .into_iter()
+            .flatten()
+            .any(is_entry);
         let changed = update_named(&mut self.vms, name, version, value);
         self.record_vm_change(changed, of_entry);
         changed
@@ -473,9 +476,9 @@
     N: Ord,
 {
     let mut changed = false;
-    for held in all.iter_mut().filter(|n| n.object.value.is_some()) {
-        if listed.binary_search(&held.name).is_err() {
-            changed |= held.object.replace_if_newer(revision, None);
+    for current in all.iter_mut().filter(|n| n.object.value.is_some()) {
+        if listed.binary_search(&current.name).is_err() {
+            changed |= current.object.replace_if_newer(revision, None);
         }
     }
     changed
--- a/crates/stair-entry/src/control/writes.rs
+++ b/crates/stair-entry/src/control/writes.rs
@@ -58,13 +58,15 @@
         self.releases.retain(|_| listed.next().unwrap_or(false));
         let shards: Vec<ShardId> = self.releases.iter().map(|r| r.shard).collect();
         for shard in shards {
-            let waiting = self.releases.iter_mut();
-            let mut waiting: Vec<_> = waiting.filter(|r| r.shard == shard && !r.writing).collect();
-            if waiting.is_empty() {
+            let unwritten = self.releases.iter_mut();
+            let mut unwritten: Vec<_> = unwritten
+                .filter(|r| r.shard == shard && !r.writing)
+                .collect();
+            if unwritten.is_empty() {
                 continue;
             }
-            waiting.iter_mut().for_each(|r| r.writing = true);
-            let grants: Vec<GrantId> = waiting.iter().map(|r| r.grant).collect();
+            unwritten.iter_mut().for_each(|r| r.writing = true);
+            let grants: Vec<GrantId> = unwritten.iter().map(|r| r.grant).collect();
             let job = ReleaseJob {
                 shard,
                 models: self.models_of(shard, &grants),
@@ -150,10 +152,10 @@
     /// stays.
     pub(super) fn delete_stale_records(&mut self) {
         let fleet_version = self.state.fleet_version();
-        if !self.state.confirmed || self.swept_fleet == Some(fleet_version) {
+        if !self.state.confirmed || self.swept_fleet_version == Some(fleet_version) {
             return;
         }
-        self.swept_fleet = Some(fleet_version);
+        self.swept_fleet_version = Some(fleet_version);
         let stale = self.state.incarnations.iter().filter(|agent| {
             let name = agent.name.as_str();
             let at = self.state.vms.binary_search_by(|vm| (*vm.name).cmp(name));
@@ -163,7 +165,7 @@
                 && self.state.rank(&self.args.name, name) == 0
         });
         for agent in stale.take(MAX_DELETIONS_PER_TICK) {
-            self.swept_fleet = None;
+            self.swept_fleet_version = None;
             let store = self.args.store.clone();
             let name = agent.name.clone();
             let version = agent.object.version;
--- a/crates/stair-entry/src/traffic/claim.rs
+++ b/crates/stair-entry/src/traffic/claim.rs
@@ -104,7 +104,7 @@
 /// The cached state of a shard between writes.
 #[derive(Default)]
 struct ShardCache {
-    known: Option<CachedShard>,
+    shard: Option<CachedShard>,
     /// The reply to a write was lost. That write may still take effect unless another write follows.
     has_unconfirmed_write: bool,
 }
@@ -193,7 +193,7 @@
             return;
         }
         queue.is_writing = true;
-        tokio::spawn(write(self.store.clone(), n, shard.clone()));
+        tokio::spawn(write_batches(self.store.clone(), n, shard.clone()));
     }
 }
 
@@ -204,7 +204,7 @@
 }
 
 /// Writes batches until no change waits.
-async fn write<S>(store: S, n: usize, shard: Arc<Shard>)
+async fn write_batches<S>(store: S, n: usize, shard: Arc<Shard>)
 where
     S: ObjectStore,
 {
@@ -266,31 +266,31 @@
 {
     let name = n.to_string();
     for _ in 0..MAX_ATTEMPTS {
-        let is_fresh = cache.known.is_none();
-        let mut known = match cache.known.take() {
-            Some(known) => known,
+        let was_read = cache.shard.is_none();
+        let mut cached = match cache.shard.take() {
+            Some(cached) => cached,
             None => read(store, &name).await?,
         };
-        let (outcomes, changed) = shard::apply(&mut known.value, changes, now_s());
+        let (outcomes, changed) = shard::apply(&mut cached.value, changes, now_s());
         // The conflicting claim may have been released since the shard was read.
-        if !is_fresh && outcomes.iter().any(|o| *o != Outcome::Done) {
+        if !was_read && outcomes.iter().any(|o| *o != Outcome::Done) {
             continue;
         }
         if !changed && !cache.has_unconfirmed_write {
-            cache.known = Some(known);
+            cache.shard = Some(cached);
             return Ok(outcomes);
         }
-        let Ok(value) = serde_json::to_value(&known.value) else {
+        let Ok(value) = serde_json::to_value(&cached.value) else {
             return Err(Error::PlatformDown);
         };
         match store
-            .put(Kind::Claims, &name, &value, known.condition)
+            .put(Kind::Claims, &name, &value, cached.condition)
             .await
         {
             Ok(version) => {
                 cache.has_unconfirmed_write = false;
-                cache.known = Some(CachedShard {
-                    value: known.value,
+                cache.shard = Some(CachedShard {
+                    value: cached.value,
                     condition: Condition::Version(version),
                 });
                 return Ok(outcomes);
--- a/crates/stair-entry/src/traffic/resume.rs
+++ b/crates/stair-entry/src/traffic/resume.rs
@@ -37,13 +37,13 @@
 /// The attempts to resume one request.
 #[derive(Default)]
 pub(super) struct Resume {
-    until: Option<Instant>,
+    deadline: Option<Instant>,
 }
 
 impl Resume {
     /// Clears the timeout after a frame has arrived.
     pub(super) fn reset(&mut self) {
-        self.until = None;
+        self.deadline = None;
     }
 
     /// Opens a new stream and requests the response from byte `received` on.
@@ -59,21 +59,21 @@
         received: u64,
     ) -> Result<(), Refusal> {
         cx.targets.record_failure(&exchange.target.target);
-        let is_first = self.until.is_none();
+        let is_first = self.deadline.is_none();
         let name = &exchange.target.name;
         warn!(Part::Links, "request {} lost its link to {name}", req.id);
-        let until = *self
-            .until
+        let deadline = *self
+            .deadline
             .get_or_insert_with(|| Instant::now() + RESUME_TIMEOUT);
         if !is_first {
             sleep(RETRY_DELAY).await;
         }
-        while Instant::now() < until {
+        while Instant::now() < deadline {
             if is_replaced(cx, exchange) {
                 return Err(lost("the target was replaced during the run"));
             }
             let attempt = resume_once(cx, exchange, received);
-            if let Ok(Ok(())) = timeout_at(until, attempt).await {
+            if let Ok(Ok(())) = timeout_at(deadline, attempt).await {
                 return Ok(());
             }
             sleep(RETRY_DELAY).await;
