--- a/crates/stair-agent/src/control.rs
+++ b/crates/stair-agent/src/control.rs
@@ -16,7 +16,7 @@
     ActorRef, //
 };
 use stair_policy::{
-    keep::Keep,
+    keep_alive::KeepAlive,
     queue::{
         Options,
         Queue, //
@@ -48,48 +48,48 @@
 };
 
 use crate::{
-    answers::{
-        Answer,
-        Readers, //
-    },
     assignment::InForce,
-    crowding::NoRoom,
-    doubt::UnderWay,
-    early::Early,
     items::Items,
+    memory_pressure::MemoryPressure,
     msg::{
+        AgentReport,
         Arguments,
-        Event,
         Msg,
-        Statement, //
+        OfferEvent, //
     },
     options::{
-        keep_options,
+        keep_alive_options,
         queue_options, //
     },
+    pending_offers::PendingOffer,
+    reconcile::UnconfirmedOrders,
+    responses::{
+        ReaderCount,
+        Response, //
+    },
 };
 
 /// Time between the control's own ticks.
-const TICK: Duration = Duration::from_millis(100);
+const TICK_INTERVAL: Duration = Duration::from_millis(100);
 
 /// A process that was paused finds a gap between its ticks. Meanwhile another agent may have
 /// ordered the engine, so its list is read before the next order. A busy machine delays ticks by
 /// less than this.
-const PAUSED: Duration = Duration::from_secs(1);
+const PAUSE_THRESHOLD: Duration = Duration::from_secs(1);
 
 /// The incarnation that no other agent came before.
-const FIRST: FencingToken = FencingToken(1);
+const FIRST_INCARNATION: FencingToken = FencingToken(1);
 
 /// The actor.
 pub(crate) struct Control;
 
 /// An offer that has not started.
-pub(crate) struct Pending {
+pub(crate) struct Unstarted {
     pub(crate) offer: Box<Offer>,
     pub(crate) key: ModelKey,
     pub(crate) deadline: Duration,
     pub(crate) body: Bytes,
-    pub(crate) events: mpsc::UnboundedSender<Event>,
+    pub(crate) events: mpsc::UnboundedSender<OfferEvent>,
 }
 
 /// A request that holds a slot of the target.
@@ -103,7 +103,7 @@
 }
 
 /// A whole answer that is kept for a resume.
-pub(crate) struct Ended {
+pub(crate) struct BufferedResponse {
     pub(crate) id: RequestId,
     pub(crate) bytes: u64,
 }
@@ -119,7 +119,7 @@
 pub(crate) struct Core {
     pub(crate) me: ActorRef<Msg>,
     pub(crate) args: Arguments,
-    pub(crate) began: Instant,
+    pub(crate) started_at: Instant,
     pub(crate) in_force: InForce,
     pub(crate) ledger: Ledger,
     pub(crate) runs: RunTable,
@@ -127,42 +127,42 @@
     pub(crate) queue_opts: Options,
     pub(crate) items: Items,
     /// Sorted by id.
-    pub(crate) pending: Vec<Pending>,
+    pub(crate) unstarted: Vec<Unstarted>,
     pub(crate) active: Vec<Active>,
-    pub(crate) early: Vec<Early>,
-    pub(crate) no_room: Vec<NoRoom>,
-    pub(crate) answers: ById<Arc<Answer>>,
+    pub(crate) pending_offers: Vec<PendingOffer>,
+    pub(crate) memory_pressure: Vec<MemoryPressure>,
+    pub(crate) responses: ById<Arc<Response>>,
     /// Counts the answers that are being read.
-    pub(crate) readers: Readers,
+    pub(crate) readers: ReaderCount,
     /// Whole answers, the oldest first.
-    pub(crate) ended: VecDeque<Ended>,
+    pub(crate) buffered: VecDeque<BufferedResponse>,
     /// Bytes of all whole answers.
-    pub(crate) ended_bytes: u64,
+    pub(crate) buffered_bytes: u64,
     /// Sorted by item.
-    pub(crate) used: Vec<(Item, Duration)>,
+    pub(crate) last_used: Vec<(Item, Duration)>,
     pub(crate) failures: Vec<Failure>,
     /// Loads under way, with their beginning.
     pub(crate) loading: Vec<(Item, Duration)>,
-    pub(crate) keep: Keep,
+    pub(crate) keep_alive: KeepAlive,
     /// When metrics were last sent.
-    pub(crate) reported: Duration,
+    pub(crate) metrics_emitted: Duration,
     /// Models whose callers were refused because the load takes too long, with their tier.
-    pub(crate) woken: Vec<(Item, TierRank)>,
+    pub(crate) on_demand: Vec<(Item, TierRank)>,
     /// Orders whose answers are awaited.
     pub(crate) orders: usize,
     pub(crate) listing: bool,
     /// The engine's list has to be read before the next order.
     pub(crate) relist: bool,
     /// Orders that may take effect although they were given up.
-    pub(crate) under_way: UnderWay,
+    pub(crate) unconfirmed: UnconfirmedOrders,
     /// Since when the engine has not answered when it was asked for its list.
-    pub(crate) silent_since: Option<Duration>,
+    pub(crate) unresponsive_since: Option<Duration>,
     /// The planned stop has begun.
-    pub(crate) leaving: bool,
+    pub(crate) draining: bool,
     /// What the platform's list says of this VM.
     pub(crate) vm: VmNotice,
     pub(crate) loads: u64,
-    pub(crate) last_seen: Duration,
+    pub(crate) last_message: Duration,
 }
 
 impl Actor for Control {
@@ -188,14 +188,14 @@
         core: &mut Core,
     ) -> Result<(), ActorProcessingErr> {
         core.notice_pause();
-        core.take(msg);
+        core.apply(msg);
         core.advance();
         Ok(())
     }
 }
 
 async fn tick(me: ActorRef<Msg>) {
-    let mut ticks = tokio::time::interval(TICK);
+    let mut ticks = tokio::time::interval(TICK_INTERVAL);
     ticks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
     loop {
         ticks.tick().await;
@@ -207,15 +207,15 @@
 
 impl Core {
     fn new(me: ActorRef<Msg>, args: Arguments) -> Self {
-        let keep = Keep::new(keep_options(&args.in_force));
+        let keep_alive = KeepAlive::new(keep_alive_options(&args.in_force));
         let queue_opts = queue_options(&args.in_force, &args.limits);
-        let under_way = match args.engine {
-            Some(_) if args.incarnation > FIRST => UnderWay::of_predecessor(),
-            _ => UnderWay::default(),
+        let unconfirmed = match args.engine {
+            Some(_) if args.incarnation > FIRST_INCARNATION => UnconfirmedOrders::of_predecessor(),
+            _ => UnconfirmedOrders::default(),
         };
         Self {
             me,
-            began: Instant::now(),
+            started_at: Instant::now(),
             in_force: args.in_force.clone(),
             ledger: args.ledger.clone(),
             args,
@@ -223,53 +223,53 @@
             queue: Queue::new(queue_opts.clone()),
             queue_opts,
             items: Items::default(),
-            pending: Vec::new(),
+            unstarted: Vec::new(),
             active: Vec::new(),
-            early: Vec::new(),
-            no_room: Vec::new(),
-            answers: ById::default(),
-            readers: Readers::default(),
-            ended: VecDeque::new(),
-            ended_bytes: 0,
-            used: Vec::new(),
+            pending_offers: Vec::new(),
+            memory_pressure: Vec::new(),
+            responses: ById::default(),
+            readers: ReaderCount::default(),
+            buffered: VecDeque::new(),
+            buffered_bytes: 0,
+            last_used: Vec::new(),
             failures: Vec::new(),
             loading: Vec::new(),
-            woken: Vec::new(),
-            keep,
-            reported: Duration::ZERO,
+            on_demand: Vec::new(),
+            keep_alive,
+            metrics_emitted: Duration::ZERO,
             orders: 0,
             listing: false,
             relist: false,
-            under_way,
-            silent_since: None,
-            leaving: false,
+            unconfirmed,
+            unresponsive_since: None,
+            draining: false,
             vm: VmNotice::default(),
             loads: 0,
-            last_seen: Duration::ZERO,
+            last_message: Duration::ZERO,
         }
     }
 
     /// Returns the time since the agent's start.
     pub(crate) fn now(&self) -> Duration {
-        self.began.elapsed()
+        self.started_at.elapsed()
     }
 
     fn notice_pause(&mut self) {
         let now = self.now();
-        if now - self.last_seen > PAUSED {
-            stair_telemetry::warn!(Part::Agent, "was paused for {:?}", now - self.last_seen);
+        if now - self.last_message > PAUSE_THRESHOLD {
+            stair_telemetry::warn!(Part::Agent, "was paused for {:?}", now - self.last_message);
             self.relist = self.args.engine.is_some();
         }
-        self.last_seen = now;
+        self.last_message = now;
     }
 
-    fn take(&mut self, msg: Msg) {
+    fn apply(&mut self, msg: Msg) {
         match msg {
             Msg::Offer {
                 offer,
                 body,
                 events,
-            } => self.take_offer(offer, body, events),
+            } => self.receive_offer(offer, body, events),
             Msg::Start { id, reply } => {
                 let _ = reply.send(self.start(id));
             }
@@ -289,47 +289,48 @@
             } => self.run_ended(id, complete.then_some(run), suspect),
             Msg::Forget { id } => self.forget(id),
             Msg::Assign(assignment) => self.assign(*assignment),
-            Msg::Vm(notice) => self.note_vm(notice),
+            Msg::Vm(notice) => self.apply_vm_notice(notice),
             Msg::LoadEnded {
                 item,
-                ended,
+                outcome,
                 source,
                 took,
-            } => self.load_ended(&item, ended, source, took),
-            Msg::UnloadEnded { item, ended } => self.unload_ended(&item, ended),
-            Msg::Listed(listed) => self.listed(listed),
+            } => self.load_ended(&item, outcome, source, took),
+            Msg::UnloadEnded { item, outcome } => self.unload_ended(&item, outcome),
+            Msg::Inventory(inventory) => self.inventory_received(inventory),
             Msg::Tick => {
                 self.unload_idle();
-                self.report();
+                self.emit_metrics();
             }
-            Msg::Stop => self.leave(),
+            Msg::Stop => self.start_draining(),
             Msg::Dump { reply } => drop(reply.send(self.dump())),
         }
     }
 
     /// Does everything that the present state allows.
     fn advance(&mut self) {
-        self.take_early();
+        self.retry_pending_offers();
         self.expire();
-        self.settle();
-        self.refuse_all_lost();
-        if self.knows_engine() && !self.leaving {
-            self.hand_out();
+        self.reconcile_inventory();
+        self.refuse_all_engine_down();
+        if self.knows_inventory() && !self.draining {
+            self.assign_slots();
         }
         if self.may_order() {
-            self.reconcile();
+            self.unload_undeclared();
             self.order_loads();
         }
-        self.give_back();
+        self.release_grants();
         self.publish();
     }
 
     fn assign(&mut self, assignment: Assignment) {
-        if !self.in_force.take(assignment) {
+        if !self.in_force.apply(assignment) {
             return;
         }
         self.refuse_ungranted();
-        self.keep.set_options(keep_options(&self.in_force));
+        self.keep_alive
+            .set_options(keep_alive_options(&self.in_force));
         let opts = queue_options(&self.in_force, &self.args.limits);
         if opts != self.queue_opts {
             self.rebuild_queue(opts);
@@ -337,53 +338,53 @@
     }
 
     /// Stops taking work. What runs goes on to its end.
-    pub(crate) fn leave(&mut self) {
-        self.leaving = true;
-        self.refuse_all_leaving();
+    pub(crate) fn start_draining(&mut self) {
+        self.draining = true;
+        self.refuse_all_draining();
     }
 
     /// Takes no more work while the VM is listed as leaving. Of what the entries say the latest
     /// counts, since any of them may lag.
-    fn note_vm(&mut self, notice: VmNotice) {
+    fn apply_vm_notice(&mut self, notice: VmNotice) {
         if notice.version <= self.vm.version {
             return;
         }
         self.vm = notice;
         if notice.is_leaving {
             stair_telemetry::info!(Part::Agent, "the VM is listed as leaving");
-            self.refuse_all_leaving();
+            self.refuse_all_draining();
         }
     }
 
     /// Tells whether new work is refused.
-    pub(crate) fn takes_no_work(&self) -> bool {
-        self.leaving || self.vm.is_leaving
+    pub(crate) fn refuses_work(&self) -> bool {
+        self.draining || self.vm.is_leaving
     }
 
     /// A later agent of this target has ordered the engine: orders of this one would break what
     /// the other relies on.
-    pub(crate) fn superseded(&mut self) {
+    pub(crate) fn stop_superseded(&mut self) {
         let why = "a later agent of the target has taken over the engine";
         self.args.published.fatal.send_replace(Some(why.into()));
-        self.leave();
+        self.start_draining();
     }
 
     fn publish(&mut self) {
         let revoking = self.in_force.revoking().count();
         let listed: usize = self.in_force.shards().iter().map(|s| s.grants.len()).sum();
-        let statement = Statement {
-            crowded: self.crowded(),
+        let report = AgentReport {
+            memory_pressure: self.grants_under_pressure(),
             config: self.in_force.config(),
             shards: self.in_force.versions(),
             released: self.in_force.released().to_vec(),
-            leaving: self.leaving,
+            draining: self.draining,
             granted: listed - revoking,
             revoking,
         };
         let published = &self.args.published;
-        published.statement.send_if_modified(|s| {
-            let changed = *s != statement;
-            *s = statement;
+        published.report.send_if_modified(|s| {
+            let changed = *s != report;
+            *s = report;
             changed
         });
         published.load.send_replace(self.load(None));
--- a/crates/stair-agent/src/slots.rs
+++ b/crates/stair-agent/src/slots.rs
@@ -15,38 +15,38 @@
 };
 
 use crate::{
-    admit::ELSEWHERE_MS,
-    answers::Answer,
+    admit::RETRY_ELSEWHERE_MS,
     control::{
         Active,
-        Core,
-        Ended, //
+        BufferedResponse,
+        Core, //
     },
     loads::is_current,
-    msg::Event,
+    msg::OfferEvent,
+    responses::Response,
     run, //
 };
 
 /// One slot in so many is for short work only.
-const SHORT_PART: usize = 8;
+const SHORT_SLOT_DIVISOR: usize = 8;
 
 /// Bytes of all whole answers kept for a resume.
-const MAX_KEPT_BYTES: u64 = 64 << 20;
+const MAX_BUFFERED_BYTES: u64 = 64 << 20;
 
 impl Core {
     /// Gives free slots to the first requests whose model is loaded.
     ///
     /// An eighth of the slots is for short work only: when all are taken by long drafts, a look-up
     /// would wait for one of them to end.
-    pub(crate) fn hand_out(&mut self) {
+    pub(crate) fn assign_slots(&mut self) {
         let (now, slots) = (self.now(), self.slots());
-        let general = slots - slots / SHORT_PART;
+        let general = slots - slots / SHORT_SLOT_DIVISOR;
         while self.active.len() < slots {
             let (ledger, in_force, items) = (&self.ledger, &self.in_force, &self.items);
-            let under_way = &self.under_way;
+            let unconfirmed = &self.unconfirmed;
             let ready = |key| {
                 let item = items.get(key);
-                item.is_none_or(|i| !under_way.is_for(i) && is_current(ledger, in_force, i))
+                item.is_none_or(|i| !unconfirmed.affects(i) && is_current(ledger, in_force, i))
             };
             let next = match self.active.len() < general {
                 true => self.queue.pop(now, ready),
@@ -56,11 +56,11 @@
                 return;
             };
             let item = self.items.get(next.model).cloned();
-            self.touch(item.as_ref());
+            self.record_use(item.as_ref());
             let waited = now.saturating_sub(next.arrived);
             self.args.metrics.latency(Latency::Queued, waited);
-            let max_tokens = self.find_pending(next.key);
-            let max_tokens = max_tokens.map_or(0, |i| self.pending[i].offer.max_tokens);
+            let max_tokens = self.find_unstarted(next.key);
+            let max_tokens = max_tokens.map_or(0, |i| self.unstarted[i].offer.max_tokens);
             self.active.push(Active {
                 id: next.key,
                 key: next.model,
@@ -74,36 +74,36 @@
     }
 
     fn make_ready(&mut self, id: RequestId) {
-        let Ok(i) = self.find_pending(id) else {
+        let Ok(i) = self.find_unstarted(id) else {
             return;
         };
-        let events = self.pending[i].events.clone();
-        if !self.pending[i].offer.start_when_ready {
-            let _ = events.send(Event::Ready);
+        let events = self.unstarted[i].events.clone();
+        if !self.unstarted[i].offer.start_when_ready {
+            let _ = events.send(OfferEvent::Ready);
             return;
         }
-        if let Some(answer) = self.start(id) {
-            let _ = events.send(Event::Started(answer));
+        if let Some(response) = self.start(id) {
+            let _ = events.send(OfferEvent::Started(response));
         }
     }
 
     /// Runs a request that holds a slot, at most once.
-    pub(crate) fn start(&mut self, id: RequestId) -> Option<Arc<Answer>> {
+    pub(crate) fn start(&mut self, id: RequestId) -> Option<Arc<Response>> {
         let slot = self.active.iter().position(|a| a.id == id && !a.started)?;
-        let at = self.find_pending(id).ok()?;
+        let at = self.find_unstarted(id).ok()?;
         if !self.runs.start(id) {
             return None;
         }
         self.active[slot].started = true;
-        let pending = self.pending.remove(at);
+        let unstarted = self.unstarted.remove(at);
         let max_bytes = self.args.limits.max_answer_bytes.into();
-        let answer = Answer::new(max_bytes, self.readers.clone());
-        self.answers.insert(id, answer.clone());
+        let response = Response::new(max_bytes, self.readers.clone());
+        self.responses.insert(id, response.clone());
         let job = run::Job {
-            time_left: pending.deadline.saturating_sub(self.now()),
-            offer: pending.offer,
-            body: pending.body,
-            answer: answer.clone(),
+            time_left: unstarted.deadline.saturating_sub(self.now()),
+            offer: unstarted.offer,
+            body: unstarted.body,
+            response: response.clone(),
             client: self.args.client.clone(),
             incarnation: self.args.incarnation,
             limits: self.args.limits.clone(),
@@ -111,7 +111,7 @@
             control: self.me.clone(),
         };
         self.args.traffic.spawn(run::run(job));
-        Some(answer)
+        Some(response)
     }
 
     /// Makes sure that a request that has not started never does.
@@ -121,8 +121,8 @@
         }
         self.queue.remove(id);
         self.active.retain(|a| a.id != id);
-        if let Ok(i) = self.find_pending(id) {
-            self.pending.remove(i);
+        if let Ok(i) = self.find_unstarted(id) {
+            self.unstarted.remove(i);
         }
     }
 
@@ -131,20 +131,20 @@
         &mut self,
         id: RequestId,
         incarnation: FencingToken,
-    ) -> Result<Arc<Answer>, Refusal> {
+    ) -> Result<Arc<Response>, Refusal> {
         if incarnation != self.args.incarnation {
             let message = "the agent was replaced during the run";
             return Err(Refusal::may_have_run(Reason::LinkLost, 0, message));
         }
         if self.runs.withdraw(self.now(), id) == Phase::Withdrawn {
             let message = "the request had not started";
-            let refusal = Refusal::not_run(Reason::LinkLost, ELSEWHERE_MS, message);
+            let refusal = Refusal::not_run(Reason::LinkLost, RETRY_ELSEWHERE_MS, message);
             // The stream of the offer may live still, and learns the same.
             self.queue.remove(id);
             self.refuse_id(id, refusal.clone());
             return Err(refusal);
         }
-        self.answers.get(id).cloned().ok_or_else(|| {
+        self.responses.get(id).cloned().ok_or_else(|| {
             let message = "the answer is no longer kept";
             Refusal::may_have_run(Reason::LinkLost, 0, message)
         })
@@ -154,19 +154,19 @@
     pub(crate) fn run_ended(&mut self, id: RequestId, run: Option<Duration>, suspect: bool) {
         if let Some(i) = self.active.iter().position(|a| a.id == id) {
             let ended = self.active.swap_remove(i);
-            self.touch(ended.item.as_ref());
-            self.note_end(ended.key);
+            self.record_use(ended.item.as_ref());
+            self.record_end(ended.key);
             if let Some(run) = run {
-                self.items.ran(ended.key, ended.max_tokens, run);
+                self.items.observe_run(ended.key, ended.max_tokens, run);
             }
         }
         self.runs.end(self.now(), id);
-        if let Some(answer) = self.answers.get(id) {
-            let bytes = answer.bytes();
-            self.ended_bytes += bytes;
-            self.ended.push_back(Ended { id, bytes });
+        if let Some(response) = self.responses.get(id) {
+            let bytes = response.bytes();
+            self.buffered_bytes += bytes;
+            self.buffered.push_back(BufferedResponse { id, bytes });
         }
-        self.bound_answers();
+        self.trim_responses();
         if suspect {
             self.relist = self.args.engine.is_some();
         }
@@ -174,22 +174,22 @@
 
     pub(crate) fn forget(&mut self, id: RequestId) {
         // Answers are kept for the same time, so the one to forget is among the oldest.
-        if let Some(i) = self.ended.iter().position(|e| e.id == id)
-            && let Some(ended) = self.ended.remove(i)
+        if let Some(i) = self.buffered.iter().position(|e| e.id == id)
+            && let Some(ended) = self.buffered.remove(i)
         {
-            self.ended_bytes -= ended.bytes;
+            self.buffered_bytes -= ended.bytes;
         }
-        self.answers.remove(id);
+        self.responses.remove(id);
     }
 
     /// Forgets the oldest whole answers when all together take too much memory. Each is bounded,
     /// but under load hundreds end in the time for which they are kept, and few are asked for.
-    fn bound_answers(&mut self) {
-        while self.ended_bytes > MAX_KEPT_BYTES
-            && let Some(oldest) = self.ended.front().map(|e| e.id)
+    fn trim_responses(&mut self) {
+        while self.buffered_bytes > MAX_BUFFERED_BYTES
+            && let Some(oldest) = self.buffered.front().map(|e| e.id)
         {
-            if let Some(answer) = self.answers.get(oldest) {
-                answer.cancel();
+            if let Some(response) = self.responses.get(oldest) {
+                response.cancel();
             }
             self.forget(oldest);
         }
--- a/crates/stair-entry/src/control/agents.rs
+++ b/crates/stair-entry/src/control/agents.rs
@@ -92,7 +92,7 @@
                 }
                 true
             }
-            AgentControl::Crowded { grants } => {
+            AgentControl::MemoryPressure { grants } => {
                 let target = agent.hello.target.clone();
                 self.memory_pressure.record(target, grants, Instant::now())
             }
--- a/crates/stair-entry/src/control/load_slots.rs
+++ b/crates/stair-entry/src/control/load_slots.rs
@@ -15,9 +15,9 @@
     time::Duration,
 };
 
-use stair_policy::load_order::{
+use stair_policy::load_slots::{
+    LoadSlots, //
     Options,
-    Turns, //
 };
 use stair_types::TierRank;
 use tokio::{
@@ -49,7 +49,7 @@
 }
 
 struct State {
-    slots: Turns<WaiterId>,
+    slots: LoadSlots<WaiterId>,
     waiters: Vec<Waiter>,
     next_id: u64,
 }
@@ -91,7 +91,7 @@
             inner: Arc::new(Inner {
                 started: Instant::now(),
                 state: Mutex::new(State {
-                    slots: Turns::new(with_lease_timeout(opts)),
+                    slots: LoadSlots::new(with_lease_timeout(opts)),
                     waiters: Vec::new(),
                     next_id: 0,
                 }),
--- a/crates/stair-entry/src/traffic/targets.rs
+++ b/crates/stair-entry/src/traffic/targets.rs
@@ -13,10 +13,10 @@
 };
 
 use serde::Serialize;
-use stair_policy::shift::{
+use stair_policy::traffic_weights::{
     self,
     Outcome,
-    Shift, //
+    TrafficWeights, //
 };
 use stair_types::{
     FencingToken,
@@ -42,7 +42,7 @@
 /// The targets that this entry has sent requests to.
 pub(super) struct Targets {
     list: RwLock<List>,
-    weights: Mutex<Shift>,
+    weights: Mutex<TrafficWeights>,
 }
 
 #[derive(Default)]
@@ -116,7 +116,7 @@
     fn default() -> Self {
         Self {
             list: RwLock::default(),
-            weights: Mutex::new(Shift::new(shift::Options::default())),
+            weights: Mutex::new(TrafficWeights::new(traffic_weights::Options::default())),
         }
     }
 }
@@ -142,7 +142,7 @@
     /// Records the time from the start of a request to the first byte of its response.
     pub(super) fn record_first_byte(&self, target: &Target, latency: Duration) {
         let mut weights = self.weights();
-        weights.observe(target.key, latency, Outcome::Answered);
+        weights.observe(target.key, latency, Outcome::Completed);
     }
 
     /// Records that a target could not be reached, its link broke or its engine failed.
@@ -186,7 +186,7 @@
         });
     }
 
-    fn weights(&self) -> MutexGuard<'_, Shift> {
+    fn weights(&self) -> MutexGuard<'_, TrafficWeights> {
         self.weights.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
