--- a/crates/stair-entry/src/control/assignment.rs
+++ b/crates/stair-entry/src/control/assignment.rs
@@ -96,11 +96,11 @@
 }
 
 fn shard(state: &State, shard: ShardId, found: &[Found<'_>]) -> Option<ShardAssignment> {
-    let held = state.shards.get(usize::from(shard.0))?;
+    let current = state.shards.get(usize::from(shard.0))?;
     let of_shard = found.iter().filter(|f| f.shard == shard);
     Some(ShardAssignment {
         shard,
-        version: held.version,
+        version: current.version,
         grants: of_shard.map(|f| assigned(f.grant)).collect(),
     })
 }
--- a/crates/stair-entry/src/control/propose.rs
+++ b/crates/stair-entry/src/control/propose.rs
@@ -72,8 +72,8 @@
 
     /// Returns the proposed contents of a shard, or none when it needs no change.
     pub fn propose(&mut self, state: &State, shard: ShardId) -> Option<GrantShard> {
-        let held = &state.shards[usize::from(shard.0)];
-        let mut next = held.value.clone().unwrap_or_default();
+        let current = &state.shards[usize::from(shard.0)];
+        let mut next = current.value.clone().unwrap_or_default();
         remove_unlisted_holders(state, &mut next);
         self.revoke_undeclared(state, &mut next);
         let catalogue = state.config.catalogue.clone();
@@ -83,8 +83,8 @@
                 self.apply(&mut next, model, change);
             }
         }
-        let unchanged = held.value.as_ref() == Some(&next);
-        let empty = held.value.is_none() && next.grants.is_empty();
+        let unchanged = current.value.as_ref() == Some(&next);
+        let empty = current.value.is_none() && next.grants.is_empty();
         (!unchanged && !empty).then_some(next)
     }
 
@@ -132,7 +132,7 @@
 
     fn changes(&self, shard: &GrantShard, model: &Model) -> Vec<Change> {
         let grants = shard.of_model(&model.name).iter();
-        let grants: Vec<ExistingGrant> = grants.map(|g| self.held(g)).collect();
+        let grants: Vec<ExistingGrant> = grants.map(|g| self.existing(g)).collect();
         let info = ModelInfo {
             name_hash: rendezvous::weight("model", model.name.as_str()),
             memory_mib: model.memory_mib,
@@ -158,9 +158,9 @@
             Change::Revoke(key) => {
                 let grants = shard.of_model(&model.name);
                 // Targets without an agent's record share one key, so several grants may match.
-                let mut held = grants.iter().filter(|g| !g.revoking);
-                let held = held.find(|g| self.held(g).target == key);
-                if let Some(id) = held.map(|g| g.id) {
+                let mut granted = grants.iter().filter(|g| !g.revoking);
+                let granted = granted.find(|g| self.existing(g).target == key);
+                if let Some(id) = granted.map(|g| g.id) {
                     shard.revoke(id);
                 }
             }
@@ -185,7 +185,7 @@
         for grant in shards.flat_map(|s| &s.grants) {
             let memory = state.config.catalogue.model(grant.model.as_str());
             if let Some(model) = memory {
-                let key = self.held(grant).target;
+                let key = self.existing(grant).target;
                 self.fleet.add_grant(key, model.memory_mib);
             }
         }
@@ -193,7 +193,7 @@
 
     /// A grant of a target outside the arena gets a key that no target has: placement counts the
     /// grant and rejects its holder.
-    fn held(&self, grant: &Grant) -> ExistingGrant {
+    fn existing(&self, grant: &Grant) -> ExistingGrant {
         ExistingGrant {
             target: self.key(&grant.target).unwrap_or(TargetKey(u32::MAX)),
             revoking: grant.revoking,
@@ -225,8 +225,8 @@
 /// Most changes concern few shards, and building a [`Planner`] for 12,000 targets at each change
 /// would take most of the CPU time budgeted for control.
 pub fn is_settled(state: &State, shard: ShardId) -> bool {
-    let held = &state.shards[usize::from(shard.0)];
-    let grants = held.value.as_ref().map_or(&[][..], |s| &s.grants);
+    let current = &state.shards[usize::from(shard.0)];
+    let grants = current.value.as_ref().map_or(&[][..], |s| &s.grants);
     let catalogue = &state.config.catalogue;
     let is_valid = |g: &Grant| {
         let declared = catalogue.model(g.model.as_str());
@@ -238,7 +238,10 @@
     grants.iter().all(is_valid)
         && models.all(|m| {
             stair_state::grants::shard_of(&m.name) != shard
-                || held.value.as_ref().map_or(0, |s| s.of_model(&m.name).len())
+                || current
+                    .value
+                    .as_ref()
+                    .map_or(0, |s| s.of_model(&m.name).len())
                     == usize::from(m.replicas)
         })
 }
--- a/crates/stair-entry/src/control/report.rs
+++ b/crates/stair-entry/src/control/report.rs
@@ -74,15 +74,15 @@
     }
 }
 
-fn object<T>(kind: Kind, name: &str, held: &Versioned<T>) -> Option<Object>
+fn object<T>(kind: Kind, name: &str, versioned: &Versioned<T>) -> Option<Object>
 where
     T: serde::Serialize,
 {
-    let value = serde_json::to_value(held.value.as_ref()?).ok()?;
+    let value = serde_json::to_value(versioned.value.as_ref()?).ok()?;
     Some(Object {
         kind,
         name: name.into(),
-        version: held.version,
+        version: versioned.version,
         value,
     })
 }
--- a/crates/stair-entry/src/traffic/choose.rs
+++ b/crates/stair-entry/src/traffic/choose.rs
@@ -47,7 +47,7 @@
         .filter(|k| !tried.contains(&view.target(**k).name))
         .filter_map(|k| candidate(cx, &view, req, *k))
         .collect();
-    let affinity = choose::affinity_target(
+    let affinity_target = choose::affinity_target(
         req.prefix_hash,
         candidates
             .iter()
@@ -56,7 +56,7 @@
     let candidates: Vec<Candidate> = candidates
         .into_iter()
         .map(|c| Candidate {
-            prefix_affinity: affinity == Some(c.key),
+            prefix_affinity: affinity_target == Some(c.key),
             ..c
         })
         .collect();
--- a/crates/stair-entry/src/traffic/shard.rs
+++ b/crates/stair-entry/src/traffic/shard.rs
@@ -76,11 +76,11 @@
     match shard.claims.binary_search_by(|c| c.key.cmp(&claim.key)) {
         Ok(i) if is_same(&shard.claims[i], claim) => Outcome::Done,
         Ok(i) => {
-            let held = &mut shard.claims[i];
-            if held.request != claim.request && Some(&*held) != replaces {
-                return Outcome::Taken(held.clone());
+            let current = &mut shard.claims[i];
+            if current.request != claim.request && Some(&*current) != replaces {
+                return Outcome::Taken(current.clone());
             }
-            *held = claim.clone();
+            *current = claim.clone();
             Outcome::Done
         }
         Err(_) if shard.claims.len() >= MAX_CLAIMS => Outcome::Full,
