--- a/crates/stair-entry/src/control/derive.rs
+++ b/crates/stair-entry/src/control/derive.rs
@@ -41,11 +41,11 @@
         let catalogue = &self.config.catalogue;
         let holders = catalogue.models.iter().map(|m| {
             let same_grants = before.shard_version(&m.name) == self.shard_version(&m.name);
-            if let Some(held) = before.holders_by_name(&m.name)
+            if let Some(previous) = before.holders_by_name(&m.name)
                 && same_targets
                 && same_grants
             {
-                return held.to_vec();
+                return previous.to_vec();
             }
             let grants = self.shard(&m.name).map_or(&[][..], |s| s.of_model(&m.name));
             let granted = grants.iter().filter(|g| !g.revoking);
--- a/crates/stair-entry/src/control/feed.rs
+++ b/crates/stair-entry/src/control/feed.rs
@@ -192,8 +192,8 @@
                     if let Err(e) = self.load_pending().await {
                         warn!(Part::Config, "A configuration cannot be read yet: {e}.");
                     }
-                    let seen = self.unread_since.map_or(since, |version| version - 1);
-                    let _ = self.actor.send_message(Msg::CompleteTo(seen));
+                    let complete_to = self.unread_since.map_or(since, |version| version - 1);
+                    let _ = self.actor.send_message(Msg::CompleteTo(complete_to));
                     if changed {
                         let share = 0.5 + rand::random::<f64>();
                         let spread = WATCH_SPREAD_PER_ENTRY * self.entries();
--- a/crates/stair-entry/src/control/propose.rs
+++ b/crates/stair-entry/src/control/propose.rs
@@ -116,10 +116,10 @@
     ) -> bool {
         let mut without = shard.clone();
         without.grants.retain(|g| g.id != grant);
-        let left = without.of_model(&model.name).len();
+        let remaining = without.of_model(&model.name).len();
         self.refill(&mut without, model, avoid);
         let grants = without.of_model(&model.name);
-        grants.len() > left && grants.iter().all(|g| !avoid.contains(&g.target))
+        grants.len() > remaining && grants.iter().all(|g| !avoid.contains(&g.target))
     }
 
     fn fill(&mut self, next: &mut GrantShard, model: &Model) {
--- a/crates/stair-entry/tests/claim_rules.rs
+++ b/crates/stair-entry/tests/claim_rules.rs
@@ -77,7 +77,7 @@
 #[derive(Clone)]
 struct Request {
     stage: Stage,
-    known: Option<(u64, ClaimShard)>,
+    cached: Option<(u64, ClaimShard)>,
     blocking: Option<Claim>,
     replaces: Option<Claim>,
     unconfirmed: bool,
@@ -120,7 +120,7 @@
     fn new(claims_checked: bool) -> Self {
         let request = Request {
             stage: Stage::Free,
-            known: None,
+            cached: None,
             blocking: None,
             replaces: None,
             unconfirmed: false,
@@ -144,7 +144,7 @@
                     self.requests[r].stage = Stage::Offered(t);
                 }
             }
-            Step::Read(r) => self.requests[r].known = Some((self.version, self.claims.clone())),
+            Step::Read(r) => self.requests[r].cached = Some((self.version, self.claims.clone())),
             Step::ReadAndClaim(r) => {
                 self.apply(Step::Read(r));
                 self.claim(r, Write::Confirmed);
@@ -222,7 +222,7 @@
     /// Changes the shard as `claim.rs` does. Returns `None` when the shard must be read first or the
     /// write is unconfirmed.
     fn write(&mut self, r: usize, change: &Change, write: Write) -> Option<Outcome> {
-        let (read_version, mut value) = self.requests[r].known.take()?;
+        let (read_version, mut value) = self.requests[r].cached.take()?;
         let (outcomes, changed) = shard::apply(&mut value, std::slice::from_ref(change), 0);
         let outcome = outcomes.into_iter().next()?;
         if outcome != Outcome::Done {
--- a/crates/stair-entry/tests/control_load_slots.rs
+++ b/crates/stair-entry/tests/control_load_slots.rs
@@ -48,13 +48,13 @@
 #[tokio::test(start_paused = true)]
 async fn holder_disconnects() {
     let scheduler = scheduler(1);
-    let mut held = scheduler.request(TierRank(0), TIME_LEFT);
-    held.granted().await;
+    let mut lease = scheduler.request(TierRank(0), TIME_LEFT);
+    lease.granted().await;
     let waiting = scheduler.request(TierRank(0), TIME_LEFT);
     let mut next = scheduler.request(TierRank(0), TIME_LEFT);
 
     drop(waiting);
-    drop(held);
+    drop(lease);
 
     timeout(LONG, next.granted())
         .await
--- a/crates/stair-entry/tests/control_propose.rs
+++ b/crates/stair-entry/tests/control_propose.rs
@@ -103,9 +103,9 @@
     propose_all(&mut state, 12);
     propose_all(&mut state, 13);
 
-    let held = of_target(&state, &name);
-    assert_eq!(held.len(), before);
-    assert!(held.iter().all(|g| g.revoking));
+    let granted = of_target(&state, &name);
+    assert_eq!(granted.len(), before);
+    assert!(granted.iter().all(|g| g.revoking));
     assert_within(&state, 3);
 }
 
@@ -164,10 +164,10 @@
     propose_all(&mut state, 1_004);
 
     let last = model_name(MODELS - 1);
-    let mut held = grants(&state);
-    held.retain(|g| g.model == last);
-    assert_eq!(held.len(), 3);
-    assert!(held.iter().all(|g| g.revoking));
+    let mut granted = grants(&state);
+    granted.retain(|g| g.model == last);
+    assert_eq!(granted.len(), 3);
+    assert!(granted.iter().all(|g| g.revoking));
 }
 
 #[test]
@@ -180,10 +180,10 @@
 
     for i in 0..MODELS {
         let name = model_name(i);
-        let mut held = grants(&state);
-        held.retain(|g| g.model == name);
-        let revoking = held.iter().filter(|g| g.revoking).count();
-        assert_eq!((held.len(), revoking), (3, 2));
+        let mut granted = grants(&state);
+        granted.retain(|g| g.model == name);
+        let revoking = granted.iter().filter(|g| g.revoking).count();
+        assert_eq!((granted.len(), revoking), (3, 2));
     }
 }
 
--- a/crates/stair-entry/tests/reports.rs
+++ b/crates/stair-entry/tests/reports.rs
@@ -42,7 +42,7 @@
     let entry = Entry::start(settings, keys.expect("keys can be made"), store).await;
     let entry = entry.expect("it starts");
 
-    let seen = tokio::task::spawn_blocking(move || {
+    let report = tokio::task::spawn_blocking(move || {
         let mut buf = [0; 2048];
         loop {
             let len = statsd.recv(&mut buf).expect("statsd receives");
@@ -52,11 +52,11 @@
             }
         }
     });
-    let seen = seen.await.expect("the reader does not panic");
+    let report = report.await.expect("the reader does not panic");
 
     assert!(
-        seen.contains("platform.calls:1|c|#call:list,outcome:failed"),
-        "{seen}"
+        report.contains("platform.calls:1|c|#call:list,outcome:failed"),
+        "{report}"
     );
     entry.stop().await;
     drop(closed);
--- a/crates/stair-entry/tests/resume.rs
+++ b/crates/stair-entry/tests/resume.rs
@@ -53,7 +53,7 @@
     let rig = Rig::start(&keys, &[&agent]).await;
 
     let mut response = rig.send(GOLD, BILLED, &[]).await;
-    let first = response.chunk(LONG).await.expect("a part");
+    let first = response.chunk(LONG).await.expect("a chunk");
     read.notify_one();
     let rest = response.collect(1 << 16, LONG).await.expect("whole");
 
--- a/crates/stair-entry/tests/silent_link.rs
+++ b/crates/stair-entry/tests/silent_link.rs
@@ -48,7 +48,7 @@
     let rig = Rig::start(&keys, &[&agent]).await;
 
     let mut response = rig.send(GOLD, BILLED, &[]).await;
-    let first = response.chunk(LONG).await.expect("a part");
+    let first = response.chunk(LONG).await.expect("a chunk");
     relay.silence();
     let began = Instant::now();
     let rest = response.collect(1 << 16, LONG).await.expect("whole");
--- a/crates/stair-entry/tests/slow_caller.rs
+++ b/crates/stair-entry/tests/slow_caller.rs
@@ -71,9 +71,9 @@
         s.queued().await;
         assert!(s.ready().await);
         s.head("text/event-stream", 0).await;
-        let part = "x".repeat(1 << 20);
+        let chunk = "x".repeat(1 << 20);
         for _ in 0..64 {
-            s.body(&part).await;
+            s.body(&chunk).await;
         }
         s.next_message().await;
     });
--- a/crates/stair-entry/tests/stream_response.rs
+++ b/crates/stair-entry/tests/stream_response.rs
@@ -43,9 +43,9 @@
     let rig = Rig::start(&keys, &[&agent]).await;
 
     let mut response = rig.send(GOLD, BILLED, &[]).await;
-    let first = response.chunk(LONG).await.expect("a part");
+    let first = response.chunk(LONG).await.expect("a chunk");
     release.send(()).await.expect("the agent waits");
-    let second = response.chunk(LONG).await.expect("a part");
+    let second = response.chunk(LONG).await.expect("a chunk");
 
     assert_eq!(first.as_deref(), Some(&b"data: 1\n\n"[..]));
     assert_eq!(second.as_deref(), Some(&b"data: 2\n\n"[..]));
@@ -71,7 +71,7 @@
     let mut text = Vec::new();
     let ended = loop {
         match response.chunk(LONG).await {
-            Ok(Some(part)) => text.extend_from_slice(&part),
+            Ok(Some(chunk)) => text.extend_from_slice(&chunk),
             Ok(None) => break true,
             Err(_) => break false,
         }
@@ -118,7 +118,7 @@
     let rig = Rig::start(&keys, &[&agent]).await;
 
     let mut response = rig.send(GOLD, BILLED, &[]).await;
-    response.chunk(LONG).await.expect("a part");
+    response.chunk(LONG).await.expect("a chunk");
     drop(response);
 
     assert_eq!(agent.next().await, Event::Offered);
