--- a/crates/stair-entry/src/control/state.rs
+++ b/crates/stair-entry/src/control/state.rs
@@ -218,7 +218,7 @@
         changed
     }
 
-    /// Replaces a VM's line by a newer version, or by a deletion if there is no value. Returns whether
+    /// Replaces a VM's record by a newer version, or by a deletion if there is no value. Returns whether
     /// it was newer.
     pub fn update_vm(&mut self, name: Box<str>, version: u64, value: Option<Vm>) -> bool {
         let current = find_at(&self.vms, &name);
