--- a/crates/stair-entry/src/control/propose.rs
+++ b/crates/stair-entry/src/control/propose.rs
@@ -1,9 +1,8 @@
-//! Which grants should change, as a pure function of the state.
+//! Proposes changes of grants, as a pure function of the state.
 //!
-//! The load it is made for: VMs that come and go all day, changes of the declarations, and
-//! several entries that propose at once. The harm it prevents: more grants than were decided, and
-//! models without a target. It proposes from one state, and the conditional update throws the
-//! proposal away when the shard has changed since.
+//! VMs are added and removed and declarations change at any time, and several entries propose at
+//! once. No model may get more grants than declared or stay without a target. Each proposal is
+//! derived from one state, and the conditional update discards it when the shard has changed since.
 
 use stair_config::Model;
 use stair_platform::TargetKind;
@@ -30,7 +29,7 @@
 
 use crate::control::state::State;
 
-/// The fleet as placement sees it, made once for all shards of one round.
+/// Plans grants with a model of the fleet that is built once and serves all shards of a pass.
 #[derive(Debug)]
 pub struct Planner {
     fleet: Fleet,
@@ -39,7 +38,7 @@
 }
 
 impl Planner {
-    /// Prepares a round: O(n log n) in the targets and O(g log n) in the grants.
+    /// Builds the fleet from the state, in O(n log n) of the targets and O(g log n) of the grants.
     pub fn new(state: &State) -> Self {
         let mut data_centres: Vec<&DataCentre> = Vec::new();
         let mut names = Vec::new();
@@ -71,10 +70,10 @@
         planner
     }
 
-    /// Returns the shard as it should be, or none when it is right already.
+    /// Returns the proposed contents of a shard, or none when it needs no change.
     pub fn propose(&mut self, state: &State, shard: ShardId) -> Option<GrantShard> {
-        let held = &state.shards[usize::from(shard.0)];
-        let mut next = held.value.clone().unwrap_or_default();
+        let current = &state.shards[usize::from(shard.0)];
+        let mut next = current.value.clone().unwrap_or_default();
         remove_unlisted_holders(state, &mut next);
         self.revoke_undeclared(state, &mut next);
         let catalogue = state.config.catalogue.clone();
@@ -84,19 +83,19 @@
                 self.apply(&mut next, model, change);
             }
         }
-        let unchanged = held.value.as_ref() == Some(&next);
-        let empty = held.value.is_none() && next.grants.is_empty();
+        let unchanged = current.value.as_ref() == Some(&next);
+        let empty = current.value.is_none() && next.grants.is_empty();
         (!unchanged && !empty).then_some(next)
     }
 
-    /// Grants what a model lacks, on other targets than `avoid` as far as there are any.
+    /// Adds the grants that a model lacks, on targets in `avoid` only when no others are left.
     pub fn refill(&mut self, next: &mut GrantShard, model: &Model, avoid: &[TargetName]) {
         let avoided: Vec<TargetKey> = avoid.iter().filter_map(|t| self.key(t)).collect();
         let holds = |next: &GrantShard, key: TargetKey| {
             let grants = next.of_model(&model.name);
             grants.iter().any(|g| self.key(&g.target) == Some(key))
         };
-        // A holder that is not live would be proposed for a revoke.
+        // Holders are not hidden: placement proposes to revoke a grant whose holder is not live.
         let hidden: Vec<TargetKey> = avoided
             .into_iter()
             .filter(|k| self.fleet.get(*k).is_some_and(|t| t.live) && !holds(next, *k))
@@ -107,7 +106,7 @@
         self.fill(next, model);
     }
 
-    /// Tells whether a model that gives up a grant would find another target.
+    /// Returns whether a target outside `avoid` could replace the holder of `grant`.
     pub fn has_other_target(
         &mut self,
         shard: &GrantShard,
@@ -117,10 +116,10 @@
     ) -> bool {
         let mut without = shard.clone();
         without.grants.retain(|g| g.id != grant);
-        let left = without.of_model(&model.name).len();
+        let remaining = without.of_model(&model.name).len();
         self.refill(&mut without, model, avoid);
         let grants = without.of_model(&model.name);
-        grants.len() > left && grants.iter().all(|g| !avoid.contains(&g.target))
+        grants.len() > remaining && grants.iter().all(|g| !avoid.contains(&g.target))
     }
 
     fn fill(&mut self, next: &mut GrantShard, model: &Model) {
@@ -133,7 +132,7 @@
 
     fn changes(&self, shard: &GrantShard, model: &Model) -> Vec<Change> {
         let grants = shard.of_model(&model.name).iter();
-        let grants: Vec<ExistingGrant> = grants.map(|g| self.held(g)).collect();
+        let grants: Vec<ExistingGrant> = grants.map(|g| self.existing(g)).collect();
         let info = ModelInfo {
             name_hash: rendezvous::weight("model", model.name.as_str()),
             memory_mib: model.memory_mib,
@@ -158,10 +157,10 @@
             }
             Change::Revoke(key) => {
                 let grants = shard.of_model(&model.name);
-                // Targets without an agent's record share one key.
-                let mut held = grants.iter().filter(|g| !g.revoking);
-                let held = held.find(|g| self.held(g).target == key);
-                if let Some(id) = held.map(|g| g.id) {
+                // Targets without an agent's record share one key, so several grants may match.
+                let mut granted = grants.iter().filter(|g| !g.revoking);
+                let granted = granted.find(|g| self.existing(g).target == key);
+                if let Some(id) = granted.map(|g| g.id) {
                     shard.revoke(id);
                 }
             }
@@ -186,15 +185,15 @@
         for grant in shards.flat_map(|s| &s.grants) {
             let memory = state.config.catalogue.model(grant.model.as_str());
             if let Some(model) = memory {
-                let key = self.held(grant).target;
+                let key = self.existing(grant).target;
                 self.fleet.add_grant(key, model.memory_mib);
             }
         }
     }
 
-    /// A grant of a target that is not in the arena gets a key that no target has: placement
-    /// counts the grant and finds its holder unfit.
-    fn held(&self, grant: &Grant) -> ExistingGrant {
+    /// A grant of a target outside the arena gets a key that no target has: placement counts the
+    /// grant and rejects its holder.
+    fn existing(&self, grant: &Grant) -> ExistingGrant {
         ExistingGrant {
             target: self.key(&grant.target).unwrap_or(TargetKey(u32::MAX)),
             revoking: grant.revoking,
@@ -202,9 +201,11 @@
     }
 }
 
-/// A grant of a VM that does not answer stays: the VM may be paused with the model loaded. Only
-/// when the platform has taken the VM away is its memory surely gone. Grants go to listed VMs
-/// only, so a holder that is not listed was listed before.
+/// Removes the grants of targets whose VM the platform no longer lists.
+///
+/// A grant of an unresponsive VM stays, since the VM may be frozen with the model loaded. Its memory
+/// is certainly free only when the platform has removed the VM. Grants go to listed VMs only, so a
+/// holder that is not listed was listed before.
 fn remove_unlisted_holders(state: &State, shard: &mut GrantShard) {
     let mut unlisted: Vec<TargetName> = shard
         .grants
@@ -218,13 +219,14 @@
     }
 }
 
-/// Tells whether a shard is surely right as it is, at the cost of the shard and not of the fleet.
+/// Returns whether a shard certainly needs no change, at a cost that depends on the shard and not on
+/// the fleet.
 ///
-/// Most changes concern few shards, and preparing a [`Planner`] for 12,000 targets with each change
-/// would cost most of what control may use.
+/// Most changes concern few shards, and building a [`Planner`] for 12,000 targets at each change
+/// would take most of the CPU time budgeted for control.
 pub fn is_settled(state: &State, shard: ShardId) -> bool {
-    let held = &state.shards[usize::from(shard.0)];
-    let grants = held.value.as_ref().map_or(&[][..], |s| &s.grants);
+    let current = &state.shards[usize::from(shard.0)];
+    let grants = current.value.as_ref().map_or(&[][..], |s| &s.grants);
     let catalogue = &state.config.catalogue;
     let is_valid = |g: &Grant| {
         let declared = catalogue.model(g.model.as_str());
@@ -236,7 +238,10 @@
     grants.iter().all(is_valid)
         && models.all(|m| {
             stair_state::grants::shard_of(&m.name) != shard
-                || held.value.as_ref().map_or(0, |s| s.of_model(&m.name).len())
+                || current
+                    .value
+                    .as_ref()
+                    .map_or(0, |s| s.of_model(&m.name).len())
                     == usize::from(m.replicas)
         })
 }
--- a/crates/stair-entry/src/control/report.rs
+++ b/crates/stair-entry/src/control/report.rs
@@ -1,4 +1,4 @@
-//! What control tells: the snapshot for peers, the status and the state dump for the operator.
+//! Builds the snapshot for peers, and the status and the state dump for the operator.
 
 use serde_json::{
     Value,
@@ -44,8 +44,8 @@
     pub(super) fn status(&self) -> Value {
         json!({
             "entry": self.args.name,
-            // What is published, not what has just arrived: an operator who waits for a version
-            // must not be told that it is in force before requests meet it.
+            // The published version, not the one received last: an operator who waits for a version
+            // must not see it before it applies to requests.
             "config": self.args.view.borrow().config,
             "confirmed": self.state.confirmed,
             "agents": self.agents.len(),
@@ -74,15 +74,15 @@
     }
 }
 
-fn object<T>(kind: Kind, name: &str, held: &Versioned<T>) -> Option<Object>
+fn object<T>(kind: Kind, name: &str, versioned: &Versioned<T>) -> Option<Object>
 where
     T: serde::Serialize,
 {
-    let value = serde_json::to_value(held.value.as_ref()?).ok()?;
+    let value = serde_json::to_value(versioned.value.as_ref()?).ok()?;
     Some(Object {
         kind,
         name: name.into(),
-        version: held.version,
+        version: versioned.version,
         value,
     })
 }
