--- a/crates/stair-agent/src/admit.rs
+++ b/crates/stair-agent/src/admit.rs
@@ -57,8 +57,7 @@
     ) {
         let (now, id) = (self.now(), offer.id);
         if !self.runs.offer(now, id) {
-            let refusal =
-                Refusal::may_have_run(Reason::Duplicate, 0, "the request was offered before");
+            let refusal = Refusal::may_have_run(Reason::Duplicate, 0, "offered before");
             let _ = events.send(OfferEvent::Refused(refusal, self.load(None)));
             return;
         }
@@ -119,7 +118,7 @@
         match self.queue.push(now, waiting, &est) {
             Outcome::Queued { displaced } => {
                 if let Some(id) = displaced {
-                    let message = "a request of a higher tier displaced this one";
+                    let message = "work of a higher tier took the place";
                     self.refuse_later(id, Reason::Displaced, message);
                 }
                 self.record_arrival(unstarted.key);
--- a/crates/stair-agent/src/offers.rs
+++ b/crates/stair-agent/src/offers.rs
@@ -99,7 +99,7 @@
     };
     let id = offer.id;
     if body.len() != offer.body_bytes as usize {
-        let refusal = Refusal::not_run(Reason::Invalid, 0, "the body length is not as announced");
+        let refusal = Refusal::not_run(Reason::Invalid, 0, "the body is not as long as announced");
         return refuse(&mut tx, refusal, shared.load(false)).await;
     }
     let (events, mut from_control) = mpsc::unbounded_channel();
@@ -174,7 +174,7 @@
         Ok(Err(Some(OfferEvent::Refused(refusal, load)))) => Started::Refused(refusal, load),
         Ok(_) => Started::No,
         Err(_) => {
-            let message = "no `Start` followed `Ready` in time";
+            let message = "no start followed";
             let refusal = Refusal::not_run(Reason::Withdrawn, 0, message);
             // The withdrawal has to be in effect before the entry reads that the request did not
             // run.
@@ -257,7 +257,7 @@
                 return refuse(&mut tx, refusal, shared.load(true)).await;
             }
             ResponsePart::Unavailable => {
-                let message = "these bytes of the response are no longer buffered";
+                let message = "these bytes of the answer are no longer kept";
                 let refusal = Refusal::may_have_run(Reason::LinkLost, 0, message);
                 return refuse(&mut tx, refusal, shared.load(true)).await;
             }
--- a/crates/stair-agent/src/refuse.rs
+++ b/crates/stair-agent/src/refuse.rs
@@ -28,7 +28,7 @@
     pub(crate) fn expire(&mut self) {
         let now = self.now();
         for id in self.queue.expire(now) {
-            let message = "the request can no longer finish before its deadline";
+            let message = "the request waited too long to finish in time";
             self.refuse_later(id, Reason::DeadlinePassed, message);
         }
     }
@@ -38,7 +38,7 @@
         let ids = self
             .remove_waiting_if(|core, item| core.in_force.servable_model(&item.model).is_none());
         for id in ids {
-            let message = "the target no longer serves the model";
+            let message = "the target gives the model back";
             let refusal = Refusal::not_run(Reason::NotGranted, RETRY_ELSEWHERE_MS, message);
             self.refuse_id(id, refusal);
         }
@@ -116,7 +116,7 @@
     Refusal::not_run(
         Reason::TargetFailed,
         ENGINE_DOWN_RETRY_MS,
-        "the engine does not reply",
+        "the engine does not answer",
     )
 }
 
--- a/crates/stair-agent/src/run.rs
+++ b/crates/stair-agent/src/run.rs
@@ -86,7 +86,7 @@
     let result = tokio::select! {
         result = send_to_target(job) => result,
         () = response.cancelled() => abort(Reason::Withdrawn, "the request was withdrawn"),
-        () = response.abandoned(ttl) => abort(Reason::LinkLost, "no entry resumed the response"),
+        () = response.abandoned(ttl) => abort(Reason::LinkLost, "nobody took the answer up"),
         () = tokio::time::sleep(time_left) => {
             abort(Reason::DeadlinePassed, "the deadline passed during the run")
         }
@@ -138,7 +138,7 @@
     // The engine has lost the model, by a restart for instance. It replies so before it runs
     // anything.
     if job.is_engine && status == StatusCode::NOT_FOUND {
-        let message = "the engine has not loaded the model";
+        let message = "the engine does not hold the model";
         return Err(Failed {
             refusal: Refusal::not_run(Reason::LoadFailed, RETRY_MS, message),
             suspect: true,
@@ -202,11 +202,7 @@
             RETRY_MS,
             "the target is not reachable",
         ),
-        _ => Refusal::may_have_run(
-            Reason::TargetFailed,
-            0,
-            "the target's response was truncated",
-        ),
+        _ => Refusal::may_have_run(Reason::TargetFailed, 0, "the target's answer was cut"),
     };
     Failed {
         refusal,
--- a/crates/stair-agent/src/slots.rs
+++ b/crates/stair-agent/src/slots.rs
@@ -146,7 +146,7 @@
             return Err(refusal);
         }
         self.responses.get(id).cloned().ok_or_else(|| {
-            let message = "the response is no longer buffered";
+            let message = "the answer is no longer kept";
             Refusal::may_have_run(Reason::LinkLost, 0, message)
         })
     }
--- a/crates/stair-entry/src/traffic/accept.rs
+++ b/crates/stair-entry/src/traffic/accept.rs
@@ -97,14 +97,14 @@
         return Err(Refused::later(
             Reason::Leaving,
             Duration::ZERO,
-            "this entry is shutting down; send the request again on a new connection",
+            "this entry is leaving; send the request again on a new connection",
         ));
     }
     if view.config.0 == 0 {
         return Err(Refused::later(
             Reason::PlatformDown,
             Duration::from_secs(1),
-            "this entry has no configuration yet",
+            "this entry knows no configuration yet",
         ));
     }
     let identity = auth::authenticate(&view.catalogue, req.headers())?;
--- a/crates/stair-entry/src/traffic/body.rs
+++ b/crates/stair-entry/src/traffic/body.rs
@@ -56,7 +56,7 @@
     read.map_err(|e| match e {
         ReadError::TooLarge(_) => Refused::too_large(limits.max_body_bytes),
         ReadError::TooSlow(_) => Refused::too_slow(),
-        ReadError::Broken(_) => Refused::new(Reason::Invalid, "the body was interrupted"),
+        ReadError::Broken(_) => Refused::new(Reason::Invalid, "the body broke off"),
     })
 }
 
--- a/crates/stair-entry/src/traffic/caller.rs
+++ b/crates/stair-entry/src/traffic/caller.rs
@@ -244,8 +244,8 @@
         let withdrawn = |text| Refusal::may_have_run(Reason::Withdrawn, 0, text);
         match timeout(self.stall, self.body.send(chunk)).await {
             Ok(Ok(())) => Ok(()),
-            Ok(Err(_)) => Err(withdrawn("the caller disconnected")),
-            Err(_) => Err(withdrawn("the caller did not read the response")),
+            Ok(Err(_)) => Err(withdrawn("the caller left")),
+            Err(_) => Err(withdrawn("the caller left the answer unread")),
         }
     }
 }
--- a/crates/stair-entry/src/traffic/response.rs
+++ b/crates/stair-entry/src/traffic/response.rs
@@ -51,9 +51,7 @@
             }
             Err(Error::Io(_)) => resume.resume(cx, req, exchange, received).await?,
             Err(e) => {
-                return Err(malformed(&format!(
-                    "the target's agent sent a malformed frame: {e}"
-                )));
+                return Err(malformed(&format!("the target's agent sent nonsense: {e}")));
             }
         }
     }
@@ -85,7 +83,7 @@
             if offset != *received {
                 // With bytes missing or repeated the caller would get a corrupt response that looks
                 // complete.
-                return Err(malformed("the response continues at the wrong offset"));
+                return Err(malformed("the answer goes on at the wrong place"));
             }
             if !caller.has_head() {
                 caller.begin(status, &content_type, &headers);
@@ -126,7 +124,7 @@
 
 async fn body(caller: &mut Caller, received: &mut u64, bytes: Bytes) -> Result<(), Refusal> {
     if !caller.has_head() {
-        return Err(malformed("the response has no head"));
+        return Err(malformed("the answer has no head"));
     }
     *received += bytes.len() as u64;
     caller.push(bytes).await
@@ -134,7 +132,7 @@
 
 fn end(caller: &Caller, received: u64, total: u64) -> Result<ForwardState, Refusal> {
     if !caller.has_head() || received != total {
-        return Err(malformed("the response is incomplete"));
+        return Err(malformed("the answer is not whole"));
     }
     Ok(ForwardState::Complete)
 }
--- a/crates/stair-entry/src/traffic/run.rs
+++ b/crates/stair-entry/src/traffic/run.rs
@@ -104,7 +104,7 @@
 }
 
 fn withdrawn() -> Refusal {
-    Refusal::not_run(Reason::Withdrawn, 0, "the caller disconnected")
+    Refusal::not_run(Reason::Withdrawn, 0, "the caller left")
 }
 
 fn deadline_passed() -> Refusal {
