--- a/crates/stair-relay/src/admit.rs
+++ b/crates/stair-relay/src/admit.rs
@@ -50,10 +50,6 @@
 };
 
 use crate::{
-    allowance::{
-        self,
-        Grant, //
-    },
     authorize,
     context::{
         Context,
@@ -64,6 +60,10 @@
         rank, //
     },
     quarantine,
+    quota::{
+        self,
+        Grant, //
+    },
     refuse::{
         LEAVING_COME_BACK,
         Reason,
@@ -147,17 +147,17 @@
         _serving: serving,
     };
     quarantine::admit(cx, &job)?;
-    job.grant = take_allowance(cx, &job).await?;
+    job.grant = take_quota(cx, &job).await?;
     cx.count_request(&job.service);
     log(&job, wait);
     Ok(job)
 }
 
-async fn take_allowance(cx: &Arc<Context>, job: &Job) -> Result<Option<Grant>, Refusal> {
+async fn take_quota(cx: &Arc<Context>, job: &Job) -> Result<Option<Grant>, Refusal> {
     let Some(workspace) = &job.workspace else {
         return Ok(None);
     };
-    let opts = allowance::Options {
+    let opts = quota::Options {
         id: &job.meta.id,
         version: job.catalogue.version,
         tokens: job
@@ -166,7 +166,7 @@
             .saturating_add(job.meta.answer_tokens),
         objective: job.route.objective,
     };
-    allowance::take(cx, workspace, &opts).await
+    quota::take(cx, workspace, &opts).await
 }
 
 fn log(job: &Job, wait: Duration) {
--- a/crates/stair-relay/src/context.rs
+++ b/crates/stair-relay/src/context.rs
@@ -61,11 +61,11 @@
 };
 
 use crate::{
-    allowance::Allowances,
     crash::Crashes,
     follow::Follow,
     home::Homes,
     quarantine::Quarantine, //
+    quota::Quotas,
 };
 
 pub use flight::{
@@ -114,7 +114,7 @@
     /// What an agent said last of the other entries, and when.
     pub peers: Option<(Peers, Duration)>,
     /// Allowances of workspaces.
-    pub allowances: Allowances,
+    pub quotas: Quotas,
     /// The agents that count for all entries.
     pub homes: Homes,
     /// Requests that were cut lately.
--- a/crates/stair-relay/src/dump.rs
+++ b/crates/stair-relay/src/dump.rs
@@ -104,8 +104,8 @@
         catalogue: state.catalogue.as_ref().map_or(0, |c| c.version),
         workspaces: workspaces(&state),
         owing: state
-            .allowances
-            .owing(now)
+            .quotas
+            .overdrawn(now)
             .map(|(name, left)| (name.into(), ms(left)))
             .collect(),
         targets_revision: state.view.revision,
--- a/crates/stair-relay/src/job.rs
+++ b/crates/stair-relay/src/job.rs
@@ -47,8 +47,8 @@
 use tokio::time::Instant;
 
 use crate::{
-    allowance::Grant,
     context::Serving, //
+    quota::Grant,
 };
 
 /// The engine's rank of the most urgent requests, of 0 to 9.
--- a/crates/stair-relay/src/lib.rs
+++ b/crates/stair-relay/src/lib.rs
@@ -1,6 +1,6 @@
 //! The entry in front of targets that announce themselves in the store.
 //!
-//! The path of a request: [`serve`] accepts it, [`admit`] finds its route, [`authorize`] its workspace, [`allowance`]
+//! The path of a request: [`serve`] accepts it, [`admit`] finds its route, [`authorize`] its workspace, [`quota`]
 //! charges it. As a [`job`] it goes through [`relay`]: [`place`] finds a target where it may run, [`pick`] chooses that,
 //! [`load`] has the model loaded there, [`outage`] waits for an engine that is down, [`prefill`] reserves a prefill
 //! slot, [`attempt`] sends it, [`stream`] passes events and resumes. [`failures`] counts failures of targets, `crash`
@@ -17,7 +17,7 @@
 #![forbid(unsafe_code)]
 
 pub mod admit;
-pub mod allowance;
+
 pub mod attempt;
 pub mod authorize;
 pub mod change;
@@ -38,6 +38,7 @@
 pub mod prefill;
 pub mod process;
 mod quarantine;
+pub mod quota;
 pub mod refuse;
 pub mod relay;
 pub mod replicate;
--- a/crates/stair-relay/src/links.rs
+++ b/crates/stair-relay/src/links.rs
@@ -39,12 +39,11 @@
 };
 
 use crate::{
-    allowance,
     context::{
         AgentLink,
         Context, //
     },
-    quarantine,
+    quarantine, quota,
 };
 
 /// Time to open a link.
@@ -206,7 +205,7 @@
         state.agents[i].read.clear();
     }
     state.homes.clear();
-    state.allowances.link_ended(engine);
+    state.quotas.link_ended(engine);
     state.quarantine.link_ended(engine);
     state.view.unreport(engine);
 }
@@ -278,7 +277,7 @@
                 // The request that asked may have been given up.
                 asked.map(|tx| tx.send(answer));
             }
-            ToEntry::Allowed { seq, answer } => allowance::answered(cx, engine, seq, answer),
+            ToEntry::Allowed { seq, answer } => quota::receive_reply(cx, engine, seq, answer),
             ToEntry::Former(id) => receive_former(cx, engine, id),
             ToEntry::Declare => declare(cx, engine),
             ToEntry::Quarantine(msg) => quarantine::receive(cx, engine, msg),
--- a/crates/stair-relay/src/quarantine.rs
+++ b/crates/stair-relay/src/quarantine.rs
@@ -58,10 +58,10 @@
 const LEDGER_KEY: &str = "quarantine";
 
 /// Time for an agent to answer: a round trip and the longest pause of a busy VM.
-const ANSWER_TIME: Duration = Duration::from_millis(100);
+const REPLY_TIMEOUT: Duration = Duration::from_millis(100);
 
 /// Time for which an agent that has not answered is not asked.
-const SKIP_TIME: Duration = Duration::from_millis(1000);
+const SKIP_DURATION: Duration = Duration::from_millis(1000);
 
 /// What an entry knows of requests that end targets.
 #[derive(Default)]
@@ -70,10 +70,10 @@
     /// Kept while no agent is linked.
     own: Ledger,
     /// Questions that wait for their answer.
-    open: Vec<Open>,
+    pending: Vec<PendingRequest>,
 }
 
-struct Open {
+struct PendingRequest {
     seq: u64,
     engine: SocketAddr,
     tx: oneshot::Sender<bool>,
@@ -196,7 +196,10 @@
         let engine = state.ledgers(now).into_iter().next()?;
         let seq = state.next_seq();
         let (tx, rx) = oneshot::channel();
-        state.quarantine.open.push(Open { seq, engine, tx });
+        state
+            .quarantine
+            .pending
+            .push(PendingRequest { seq, engine, tx });
         let msg = ToLedger::Trial {
             seq,
             fingerprint,
@@ -205,15 +208,15 @@
         state.tell_ledger(engine, msg);
         (engine, rx)
     };
-    if let Ok(Ok(granted)) = timeout(ANSWER_TIME, rx).await {
+    if let Ok(Ok(granted)) = timeout(REPLY_TIMEOUT, rx).await {
         return Some((granted, engine));
     }
     Line::failure("quarantine.unanswered")
         .show("engine", engine)
         .write();
-    let until = cx.now() + SKIP_TIME;
+    let until = cx.now() + SKIP_DURATION;
     let mut state = cx.state();
-    state.quarantine.open.retain(|o| !o.tx.is_closed());
+    state.quarantine.pending.retain(|o| !o.tx.is_closed());
     state.skip_home(engine, until);
     None
 }
@@ -265,10 +268,12 @@
         ToWatchlist::Known(list) => apply(cx, &list),
         ToWatchlist::Trial { seq, granted } => {
             let mut state = cx.state();
-            let open = &mut state.quarantine.open;
-            let found = open.iter().position(|o| o.engine == engine && o.seq == seq);
+            let pending = &mut state.quarantine.pending;
+            let found = pending
+                .iter()
+                .position(|o| o.engine == engine && o.seq == seq);
             // The request that asked may have been given up.
-            found.map(|i| open.swap_remove(i).tx.send(granted));
+            found.map(|i| pending.swap_remove(i).tx.send(granted));
         }
     }
 }
@@ -299,7 +304,7 @@
 impl Quarantine {
     /// Drops the questions to an agent whose link has ended.
     pub(crate) fn link_ended(&mut self, engine: SocketAddr) {
-        self.open.retain(|o| o.engine != engine);
+        self.pending.retain(|o| o.engine != engine);
     }
 }
 
--- a/crates/stair-relay/src/allowance.rs
+++ b/crates/stair-relay/src/quota.rs
@@ -51,32 +51,32 @@
 };
 
 /// Time for an agent to answer: a round trip and the longest pause of a busy VM.
-const ANSWER_TIME: Duration = Duration::from_millis(100);
+const REPLY_TIMEOUT: Duration = Duration::from_millis(100);
 
 /// Time for which an agent that has not answered is not asked.
-const SKIP_TIME: Duration = Duration::from_millis(1000);
+const SKIP_DURATION: Duration = Duration::from_millis(1000);
 
 /// Agents that one request asks at most.
-const MAX_ASKED: usize = 2;
+const MAX_AGENTS: usize = 2;
 
 /// The part of its objective that a request may wait for its allowance; the rest is for serving it.
-const WAIT_PART: u32 = 4;
+const WAIT_DIVISOR: u32 = 4;
 
 /// A request that costs less than this part of its workspace's burst does not wait for the answer.
-const SMALL_PART: f64 = 1.0 / 50.0;
+const SMALL_FRACTION: f64 = 1.0 / 50.0;
 
 /// What an entry keeps of workspaces' allowances.
 #[derive(Default)]
-pub struct Allowances {
+pub struct Quotas {
     /// Until when each workspace owes, sorted by workspace.
-    owing: Vec<(Box<str>, Duration)>,
+    overdrawn: Vec<(Box<str>, Duration)>,
     /// This entry's own parts, sorted by workspace.
     shares: Vec<(Box<str>, Bucket)>,
     /// Questions that wait for their answer.
-    open: Vec<Open>,
+    pending: Vec<PendingRequest>,
 }
 
-struct Open {
+struct PendingRequest {
     seq: u64,
     engine: SocketAddr,
     workspace: Box<str>,
@@ -117,9 +117,9 @@
         let now = self.cx.now();
         let mut state = self.cx.state();
         match self.by {
-            CountedBy::Agent(engine) => state.give_back(engine, &self.workspace, self.cost),
+            CountedBy::Agent(engine) => state.refund(engine, &self.workspace, self.cost),
             CountedBy::Entry => {
-                let shares = &mut state.allowances.shares;
+                let shares = &mut state.quotas.shares;
                 if let Ok(i) = position(shares, &self.workspace) {
                     shares[i].1.give_back(self.cost, now);
                 }
@@ -159,13 +159,13 @@
         version: opts.version,
         allowance,
         cost,
-        limit: opts.objective / WAIT_PART,
+        limit: opts.objective / WAIT_DIVISOR,
         passed: false,
         stand_in: false,
     };
-    let small = cost <= allowance.burst * SMALL_PART;
-    ask.passed = small && !cx.state().allowances.owes(&ask.workspace, cx.now());
-    let (answer, by) = match ask_agents(cx, &mut ask).await {
+    let small = cost <= allowance.burst * SMALL_FRACTION;
+    ask.passed = small && !cx.state().quotas.is_overdrawn(&ask.workspace, cx.now());
+    let (answer, by) = match request_from_agents(cx, &mut ask).await {
         Some(both) => both,
         None => (take_share(cx, &ask), CountedBy::Entry),
     };
@@ -179,7 +179,7 @@
             .ms("come_back_ms", answer.wait)
             .write();
         let come_back = Some(answer.wait);
-        return Err(Refusal::not_run(Reason::OverAllowance, come_back));
+        return Err(Refusal::not_run(Reason::OverQuota, come_back));
     }
     let grant = Grant {
         cx: cx.clone(),
@@ -205,10 +205,10 @@
     cx.page.count("allowances_total", &labels, 1);
 }
 
-async fn ask_agents(cx: &Arc<Context>, ask: &mut Ask) -> Option<(Answer, CountedBy)> {
-    for _ in 0..MAX_ASKED {
+async fn request_from_agents(cx: &Arc<Context>, ask: &mut Ask) -> Option<(Answer, CountedBy)> {
+    for _ in 0..MAX_AGENTS {
         let now = cx.now();
-        let (engine, rx) = cx.state().ask_allowance(ask, now)?;
+        let (engine, rx) = cx.state().request_quota(ask, now)?;
         let by = CountedBy::Agent(engine);
         let Some(rx) = rx else {
             let answer = Answer {
@@ -217,14 +217,14 @@
             };
             return Some((answer, by));
         };
-        if let Ok(Ok(answer)) = timeout(ANSWER_TIME, rx).await {
+        if let Ok(Ok(answer)) = timeout(REPLY_TIMEOUT, rx).await {
             return Some((answer, by));
         }
         Line::failure("allowance.unanswered")
             .text("workspace", &ask.workspace)
             .show("engine", engine)
             .write();
-        cx.state().skip_home(engine, cx.now() + SKIP_TIME);
+        cx.state().skip_home(engine, cx.now() + SKIP_DURATION);
     }
     None
 }
@@ -235,7 +235,7 @@
     let entries = cx.entries();
     let part: Allowance = share(ask.allowance, entries);
     let mut state = cx.state();
-    let shares = &mut state.allowances.shares;
+    let shares = &mut state.quotas.shares;
     let i = position(shares, &ask.workspace).unwrap_or_else(|i| {
         shares.insert(i, (ask.workspace.clone(), Bucket::new(part, now)));
         i
@@ -246,50 +246,51 @@
 }
 
 /// Takes in an agent's answer.
-pub(crate) fn answered(cx: &Context, engine: SocketAddr, seq: u64, answer: Answer) {
+pub(crate) fn receive_reply(cx: &Context, engine: SocketAddr, seq: u64, answer: Answer) {
     let now = cx.now();
     let mut state = cx.state();
-    let open = &mut state.allowances.open;
-    let Some(i) = open.iter().position(|o| o.engine == engine && o.seq == seq) else {
+    let pending = &mut state.quotas.pending;
+    let Some(i) = pending
+        .iter()
+        .position(|o| o.engine == engine && o.seq == seq)
+    else {
         return;
     };
-    let one = open.swap_remove(i);
-    state
-        .allowances
-        .note_wait(&one.workspace, now + answer.wait);
+    let one = pending.swap_remove(i);
+    state.quotas.note_wait(&one.workspace, now + answer.wait);
     let unused = one.tx.is_some_and(|tx| tx.send(answer).is_err());
     if unused && answer.granted {
-        state.give_back(engine, &one.workspace, one.cost);
+        state.refund(engine, &one.workspace, one.cost);
     }
 }
 
-impl Allowances {
+impl Quotas {
     /// Drops the questions to an agent whose link has ended.
     pub(crate) fn link_ended(&mut self, engine: SocketAddr) {
-        self.open.retain(|o| o.engine != engine);
+        self.pending.retain(|o| o.engine != engine);
     }
 
     /// Workspaces that owe, and for how long yet.
-    pub(crate) fn owing(&self, now: Duration) -> impl Iterator<Item = (&str, Duration)> {
-        let owing = self.owing.iter().filter(move |(_, until)| now < *until);
-        owing.map(move |(name, until)| (&**name, until.saturating_sub(now)))
+    pub(crate) fn overdrawn(&self, now: Duration) -> impl Iterator<Item = (&str, Duration)> {
+        let overdrawn = self.overdrawn.iter().filter(move |(_, until)| now < *until);
+        overdrawn.map(move |(name, until)| (&**name, until.saturating_sub(now)))
     }
 
-    fn owes(&self, workspace: &str, now: Duration) -> bool {
-        position(&self.owing, workspace).is_ok_and(|i| now < self.owing[i].1)
+    fn is_overdrawn(&self, workspace: &str, now: Duration) -> bool {
+        position(&self.overdrawn, workspace).is_ok_and(|i| now < self.overdrawn[i].1)
     }
 
     fn note_wait(&mut self, workspace: &str, until: Duration) {
-        match position(&self.owing, workspace) {
-            Ok(i) => self.owing[i].1 = until,
-            Err(i) => self.owing.insert(i, (workspace.into(), until)),
+        match position(&self.overdrawn, workspace) {
+            Ok(i) => self.overdrawn[i].1 = until,
+            Err(i) => self.overdrawn.insert(i, (workspace.into(), until)),
         }
     }
 }
 
 impl State {
     /// Asks the agent that counts a workspace. The receiver is missing for a request that does not wait.
-    fn ask_allowance(
+    fn request_quota(
         &mut self,
         ask: &mut Ask,
         now: Duration,
@@ -310,7 +311,7 @@
                 (Some(tx), Some(rx))
             }
         };
-        self.allowances.open.push(Open {
+        self.quotas.pending.push(PendingRequest {
             seq,
             engine: home.engine,
             workspace: ask.workspace.clone(),
@@ -320,7 +321,7 @@
         Some((home.engine, rx))
     }
 
-    fn give_back(&self, engine: SocketAddr, workspace: &str, cost: f64) {
+    fn refund(&self, engine: SocketAddr, workspace: &str, cost: f64) {
         if let Some(i) = self.agent(engine) {
             let msg = ToAgent::GiveBack {
                 workspace: workspace.into(),
--- a/crates/stair-relay/src/refuse.rs
+++ b/crates/stair-relay/src/refuse.rs
@@ -44,7 +44,7 @@
     /// Its key is not known here, and newer declarations may be in force elsewhere.
     Behind,
     /// Its workspace has used its allowance up.
-    OverAllowance,
+    OverQuota,
     /// It has ended the targets that ran it.
     Quarantined,
     /// The request is malformed.
@@ -74,7 +74,7 @@
             Self::BadKey => "bad-key",
             Self::UnknownKey => "unknown-key",
             Self::Behind => "behind",
-            Self::OverAllowance => "over-allowance",
+            Self::OverQuota => "over-allowance",
             Self::Quarantined => "quarantined",
             Self::Malformed => "malformed",
             Self::TooLarge => "too-large",
@@ -90,7 +90,7 @@
         match self {
             Self::NoRoute => StatusCode::NOT_FOUND,
             Self::NoKey | Self::BadKey | Self::UnknownKey => StatusCode::UNAUTHORIZED,
-            Self::OverAllowance => StatusCode::TOO_MANY_REQUESTS,
+            Self::OverQuota => StatusCode::TOO_MANY_REQUESTS,
             Self::Malformed => StatusCode::BAD_REQUEST,
             Self::TooLarge => StatusCode::PAYLOAD_TOO_LARGE,
             Self::TooSlow => StatusCode::REQUEST_TIMEOUT,
