--- a/crates/stair-relay/src/context.rs
+++ b/crates/stair-relay/src/context.rs
@@ -63,7 +63,7 @@
 use crate::{
     crash::Crashes,
     follow::Follow,
-    home::Homes,
+    owner::Owners,
     quarantine::Quarantine, //
     quota::Quotas,
 };
@@ -116,7 +116,7 @@
     /// Allowances of workspaces.
     pub quotas: Quotas,
     /// The agents that count for all entries.
-    pub homes: Homes,
+    pub owners: Owners,
     /// Requests that were cut lately.
     pub(crate) crashes: Crashes,
     /// Requests that end targets.
--- a/crates/stair-relay/src/lib.rs
+++ b/crates/stair-relay/src/lib.rs
@@ -10,14 +10,13 @@
 //! Replicated state: [`replicate`] watches the store, [`follow`] the entry that watches for the data centre, [`change`]
 //! is what they exchange, [`peers`] asks other entries when the store does not answer.
 //!
-//! Agents: [`links`] holds the connections, [`home`] chooses the agent that counts for all entries, [`prefetch`] has
+//! Agents: [`links`] holds the connections, [`owner`] chooses the agent that counts for all entries, [`prefetch`] has
 //! models loaded before they are requested.
 //! [`context`] holds the state of all, [`dump`] shows it, [`process`] starts and stops.
 #![deny(missing_docs)]
 #![forbid(unsafe_code)]
 
 pub mod admit;
-
 pub mod attempt;
 pub mod authorize;
 pub mod change;
@@ -26,11 +25,11 @@
 pub mod dump;
 pub mod failures;
 pub mod follow;
-pub mod home;
 pub mod job;
 pub mod links;
 pub mod load;
 pub mod outage;
+pub mod owner;
 pub mod peers;
 pub mod pick;
 pub mod place;
--- a/crates/stair-relay/src/links.rs
+++ b/crates/stair-relay/src/links.rs
@@ -190,7 +190,7 @@
     if let Some(i) = state.agent(engine) {
         state.agents[i].linked = true;
     }
-    state.homes.clear();
+    state.owners.clear();
     drop(state);
     quarantine::link_began(cx, engine);
 }
@@ -204,7 +204,7 @@
         state.agents[i].reservations.clear();
         state.agents[i].read.clear();
     }
-    state.homes.clear();
+    state.owners.clear();
     state.quotas.link_ended(engine);
     state.quarantine.link_ended(engine);
     state.view.unreport(engine);
--- a/crates/stair-relay/src/home.rs
+++ b/crates/stair-relay/src/owner.rs
@@ -13,26 +13,26 @@
 use crate::context::State;
 
 /// Time for which a choice is kept.
-const CHOICE_TIME: Duration = Duration::from_millis(250);
+const CHOICE_TTL: Duration = Duration::from_millis(250);
 
 /// The agents that were chosen lately.
 #[derive(Default)]
-pub struct Homes {
+pub struct Owners {
     /// Sorted by name.
-    list: Vec<(Box<str>, Home)>,
+    list: Vec<(Box<str>, Owner)>,
 }
 
 /// The agent that counts under a name.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct Home {
+pub(crate) struct Owner {
     /// Its engine.
     pub(crate) engine: SocketAddr,
     /// Whether another agent would be chosen if it answered.
-    pub(crate) stand_in: bool,
+    pub(crate) is_fallback: bool,
     until: Duration,
 }
 
-impl Homes {
+impl Owners {
     /// Drops all choices: a link has begun or ended.
     pub(crate) fn clear(&mut self) {
         self.list.clear();
@@ -45,22 +45,22 @@
 
 impl State {
     /// The agent that counts under a name; `None` when no agent answers.
-    pub(crate) fn home(&mut self, name: &str, now: Duration) -> Option<Home> {
-        let found = self.homes.find(name);
+    pub(crate) fn owner(&mut self, name: &str, now: Duration) -> Option<Owner> {
+        let found = self.owners.find(name);
         if let Ok(i) = found
-            && now < self.homes.list[i].1.until
+            && now < self.owners.list[i].1.until
         {
-            return Some(self.homes.list[i].1);
+            return Some(self.owners.list[i].1);
         }
-        let home = self.choose_home(name, now)?;
+        let owner = self.choose_owner(name, now)?;
         match found {
-            Ok(i) => self.homes.list[i].1 = home,
-            Err(i) => self.homes.list.insert(i, (name.into(), home)),
+            Ok(i) => self.owners.list[i].1 = owner,
+            Err(i) => self.owners.list.insert(i, (name.into(), owner)),
         }
-        Some(home)
+        Some(owner)
     }
 
-    fn choose_home(&self, name: &str, now: Duration) -> Option<Home> {
+    fn choose_owner(&self, name: &str, now: Duration) -> Option<Owner> {
         let weight = |i: &usize| rendezvous::weight(name, &self.agents[*i].name);
         let all = 0..self.agents.len();
         let first = all.clone().max_by_key(weight)?;
@@ -69,24 +69,24 @@
             link.linked && link.skipped_until <= now
         };
         let chosen = all.filter(answers).max_by_key(weight)?;
-        Some(Home {
+        Some(Owner {
             engine: self.agents[chosen].engine,
-            stand_in: chosen != first,
-            until: now + CHOICE_TIME,
+            is_fallback: chosen != first,
+            until: now + CHOICE_TTL,
         })
     }
 
     /// Leaves out an agent that has not answered.
-    pub(crate) fn skip_home(&mut self, engine: SocketAddr, until: Duration) {
+    pub(crate) fn skip_agent(&mut self, engine: SocketAddr, until: Duration) {
         if let Some(i) = self.agent(engine) {
             self.agents[i].skipped_until = until;
         }
-        self.homes.clear();
+        self.owners.clear();
     }
 
     /// Has a rejected request counted for a model that no engine could load in time.
     pub(crate) fn count_unserved(&mut self, model: &str, now: Duration) {
-        let engine = self.home(model, now).map(|h| h.engine);
+        let engine = self.owner(model, now).map(|h| h.engine);
         if let Some(i) = engine.and_then(|e| self.agent(e)) {
             // Lost with a full queue, it is one of many.
             let _ = self.agents[i].tx.try_send(ToAgent::Unserved(model.into()));
--- a/crates/stair-relay/src/quarantine.rs
+++ b/crates/stair-relay/src/quarantine.rs
@@ -217,7 +217,7 @@
     let until = cx.now() + SKIP_DURATION;
     let mut state = cx.state();
     state.quarantine.pending.retain(|o| !o.tx.is_closed());
-    state.skip_home(engine, until);
+    state.skip_agent(engine, until);
     None
 }
 
--- a/crates/stair-relay/src/quota.rs
+++ b/crates/stair-relay/src/quota.rs
@@ -224,7 +224,7 @@
             .text("workspace", &ask.workspace)
             .show("engine", engine)
             .write();
-        cx.state().skip_home(engine, cx.now() + SKIP_DURATION);
+        cx.state().skip_agent(engine, cx.now() + SKIP_DURATION);
     }
     None
 }
@@ -295,10 +295,10 @@
         ask: &mut Ask,
         now: Duration,
     ) -> Option<(SocketAddr, Option<oneshot::Receiver<Answer>>)> {
-        let home = self.home(&ask.workspace, now)?;
-        ask.stand_in = home.stand_in;
+        let owner = self.owner(&ask.workspace, now)?;
+        ask.stand_in = owner.is_fallback;
         let seq = self.next_seq();
-        let i = self.agent(home.engine)?;
+        let i = self.agent(owner.engine)?;
         let msg = ToAgent::Allow {
             seq,
             ask: ask.clone(),
@@ -313,12 +313,12 @@
         };
         self.quotas.pending.push(PendingRequest {
             seq,
-            engine: home.engine,
+            engine: owner.engine,
             workspace: ask.workspace.clone(),
             cost: ask.cost,
             tx,
         });
-        Some((home.engine, rx))
+        Some((owner.engine, rx))
     }
 
     fn refund(&self, engine: SocketAddr, workspace: &str, cost: f64) {
