--- a/crates/stair-relay/src/crash.rs
+++ b/crates/stair-relay/src/crash.rs
@@ -44,7 +44,7 @@
 const PROBE_TIME: Duration = Duration::from_millis(300);
 
 /// Pause between looks at the list.
-const LOOK_EVERY: Duration = Duration::from_millis(200);
+const CHECK_INTERVAL: Duration = Duration::from_millis(200);
 
 /// Time after a cut in which its target may be found to have ended: three heartbeats, and the store's word of it.
 const WATCH_TIME: Duration = Duration::from_secs(6);
@@ -271,7 +271,7 @@
                 TargetState::Ready => {}
             }
         }
-        sleep(LOOK_EVERY).await;
+        sleep(CHECK_INTERVAL).await;
     }
     false
 }
--- a/crates/stair-relay/src/lib.rs
+++ b/crates/stair-relay/src/lib.rs
@@ -1,7 +1,7 @@
 //! The entry in front of targets that announce themselves in the store.
 //!
 //! The path of a request: [`serve`] accepts it, [`admit`] finds its route, [`authorize`] its workspace, [`quota`]
-//! charges it. As a [`job`] it goes through [`relay`]: [`place`] finds a target where it may run, [`pick`] chooses that,
+//! charges it. As a [`job`] it goes through [`relay`]: [`place`] finds a target where it may run, [`select`] chooses that,
 //! [`load`] has the model loaded there, [`outage`] waits for an engine that is down, [`prefill`] reserves a prefill
 //! slot, [`attempt`] sends it, [`stream`] passes events and resumes. [`failures`] counts failures of targets, `crash`
 //! finds out which requests were on a target that ended, `quarantine` keeps those from targets that end them, [`refuse`]
@@ -31,7 +31,6 @@
 pub mod outage;
 pub mod owner;
 pub mod peers;
-pub mod pick;
 pub mod place;
 pub mod prefetch;
 pub mod prefill;
@@ -41,5 +40,6 @@
 pub mod refuse;
 pub mod relay;
 pub mod replicate;
+pub mod select;
 pub mod serve;
 pub mod stream;
--- a/crates/stair-relay/src/links.rs
+++ b/crates/stair-relay/src/links.rs
@@ -68,7 +68,7 @@
 const HEARTBEAT: Duration = Duration::from_millis(1000);
 
 /// Pause between looks for VMs that stand still.
-const LOOK_EVERY: Duration = Duration::from_millis(200);
+const CHECK_INTERVAL: Duration = Duration::from_millis(200);
 
 /// A look that comes so late shows that this process has stood still itself.
 const LATE_LOOK: Duration = Duration::from_millis(600);
@@ -112,7 +112,7 @@
     let mut looked = Instant::now();
     let mut trusted_from = Instant::now();
     loop {
-        sleep(LOOK_EVERY).await;
+        sleep(CHECK_INTERVAL).await;
         let late = looked.elapsed() >= LATE_LOOK;
         looked = Instant::now();
         if late {
--- a/crates/stair-relay/src/load.rs
+++ b/crates/stair-relay/src/load.rs
@@ -37,11 +37,11 @@
     },
     job::Job,
     outage,
-    pick::{
+    select::{
+        CHECK_INTERVAL,
         COME_BACK,
-        LOOK_EVERY,
-        RUN_TIME,
-        ready, //
+        RUN_DURATION,
+        find_ready, //
     },
 };
 
@@ -61,18 +61,18 @@
     /// It would come too late, and an engine that is down may be back with it before.
     Down,
     /// No engine can load it.
-    Nowhere,
+    NoCapacity,
 }
 
 /// Finds a place for a model, has it loaded there and waits for it until `until`. Engines in
-/// `refused` are left out. Until `held_until` an engine that is down may be waited for instead.
+/// `refused` are left out. Until `outage_until` an engine that is down may be waited for instead.
 pub async fn load(
     cx: &Arc<Context>,
     job: &Job,
     model: &str,
     engine: &Engine,
     refused: &[TargetKey],
-    held_until: Instant,
+    outage_until: Instant,
     until: Instant,
 ) -> Loaded {
     let found = {
@@ -81,7 +81,7 @@
         cold_start::find(&state.view, &job.service, engine, model, refused, now)
     };
     match found {
-        Ok(at) => load_at(cx, job, &at, refused, held_until, until).await,
+        Ok(at) => load_at(cx, job, &at, refused, outage_until, until).await,
         Err(e) => {
             Line::new("wake.nowhere")
                 .text("id", &job.meta.id)
@@ -99,16 +99,16 @@
     job: &Job,
     at: &cold_start::Outcome,
     refused: &[TargetKey],
-    held_until: Instant,
+    outage_until: Instant,
     until: Instant,
 ) -> Loaded {
     let Some(model) = job.meta.model.as_deref() else {
-        return Loaded::Nowhere;
+        return Loaded::NoCapacity;
     };
     let begun = Instant::now();
-    let late = begun + at.ready_in + RUN_TIME > until;
+    let late = begun + at.ready_in + RUN_DURATION > until;
     // A load that comes too late for this request anyway keeps the weight store from others.
-    if late && at.from == Copy::Store && begun < held_until && outage::is_expected(cx, job) {
+    if late && at.from == Copy::Store && begun < outage_until && outage::is_expected(cx, job) {
         return Loaded::Down;
     }
     let waits = until.saturating_duration_since(begun);
@@ -161,7 +161,7 @@
     until: Instant,
 ) -> Option<Result<msg::Outcome, RecvError>> {
     loop {
-        let look = Instant::now() + LOOK_EVERY;
+        let look = Instant::now() + CHECK_INTERVAL;
         if let Ok(outcome) = timeout_at(look.min(until), pending.outcome()).await {
             return Some(outcome);
         }
@@ -171,7 +171,7 @@
             pending.stand();
             return Some(Ok(msg::Outcome::Failed));
         }
-        if ready(cx, job, refused, false).is_some() {
+        if find_ready(cx, job, refused, false).is_some() {
             return None;
         }
     }
@@ -186,17 +186,17 @@
 ) -> Loaded {
     let load = engine.model(model).map_or(COME_BACK, |m| m.from_store);
     match why {
-        cold_start::Error::Nowhere => return Loaded::Nowhere,
+        cold_start::Error::Nowhere => return Loaded::NoCapacity,
         cold_start::Error::Unheard => {
-            sleep(LOOK_EVERY).await;
+            sleep(CHECK_INTERVAL).await;
             return Loaded::Waited;
         }
         cold_start::Error::StoreBusy => {}
     }
-    if Instant::now() + load + RUN_TIME > until {
+    if Instant::now() + load + RUN_DURATION > until {
         return Loaded::TooLate(load);
     }
-    sleep(LOOK_EVERY).await;
+    sleep(CHECK_INTERVAL).await;
     Loaded::Waited
 }
 
--- a/crates/stair-relay/src/outage.rs
+++ b/crates/stair-relay/src/outage.rs
@@ -18,14 +18,14 @@
 use crate::{
     context::Context,
     job::Job,
-    pick::{
-        place,
-        ready, //
+    select::{
+        find_ready,
+        replica_placement, //
     },
 };
 
 /// Pause between looks.
-const LOOK_EVERY: Duration = Duration::from_millis(100);
+const CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Waits until a target can run the request or load its model from a copy. Returns false when no engine is
 /// expected back, or none has come until `until`.
@@ -42,8 +42,10 @@
             break false;
         }
         waited = true;
-        sleep(LOOK_EVERY).await;
-        if ready(cx, job, tried, false).is_some() || place(cx, job, tried).is_some() {
+        sleep(CHECK_INTERVAL).await;
+        if find_ready(cx, job, tried, false).is_some()
+            || replica_placement(cx, job, tried).is_some()
+        {
             break true;
         }
     };
--- a/crates/stair-relay/src/place.rs
+++ b/crates/stair-relay/src/place.rs
@@ -14,10 +14,6 @@
 use crate::{
     context::Context,
     job::Job,
-    pick::{
-        self,
-        Picked, //
-    },
     quarantine::{
         self,
         Gate, //
@@ -27,6 +23,10 @@
         Reason, //
     },
     relay::REFUSED_COME_BACK,
+    select::{
+        self,
+        Selected, //
+    },
 };
 
 /// Time before the process's end at which waiting requests are rejected, for the rejections to arrive.
@@ -75,13 +75,13 @@
 pub async fn place(
     cx: &Arc<Context>,
     job: &Job,
-    left_out: &[TargetKey],
+    excluded: &[TargetKey],
     after_event: Option<u64>,
-) -> Result<Picked, NotPlaced> {
+) -> Result<Selected, NotPlaced> {
     let since = after_event.map_or(job.received, |_| Instant::now());
     let until = pick_until(job, after_event);
     tokio::select! {
-        picked = pick_permitted(cx, job, left_out, since, until) => picked,
+        selected = pick_permitted(cx, job, excluded, since, until) => selected,
         // A request that waits for a model when the process ends would get no answer at all.
         () = cx.ending(LAST_REFUSALS) => Err(NotPlaced::no_target(LEAVING_COME_BACK)),
     }
@@ -91,18 +91,18 @@
 async fn pick_permitted(
     cx: &Arc<Context>,
     job: &Job,
-    left_out: &[TargetKey],
+    excluded: &[TargetKey],
     since: Instant,
     until: Instant,
-) -> Result<Picked, NotPlaced> {
+) -> Result<Selected, NotPlaced> {
     loop {
         if let Some(left) = quarantine::held(cx, job) {
             return Err(NotPlaced::quarantined(left));
         }
-        let picked = pick::pick(cx, job, left_out, since, until).await;
-        let picked = picked.map_err(|nowhere| NotPlaced::no_target(nowhere.come_back))?;
-        if let Some(picked) = permit(cx, job, picked, until).await? {
-            return Ok(picked);
+        let selected = select::select(cx, job, excluded, since, until).await;
+        let selected = selected.map_err(|e| NotPlaced::no_target(e.come_back))?;
+        if let Some(selected) = permit(cx, job, selected, until).await? {
+            return Ok(selected);
         }
     }
 }
@@ -111,18 +111,18 @@
 async fn permit(
     cx: &Arc<Context>,
     job: &Job,
-    mut picked: Picked,
+    mut selected: Selected,
     until: Instant,
-) -> Result<Option<Picked>, NotPlaced> {
+) -> Result<Option<Selected>, NotPlaced> {
     let look_on = Instant::now() + TRIAL_WAIT;
     loop {
-        match quarantine::gate(cx, job, &picked.id).await {
+        match quarantine::gate(cx, job, &selected.id).await {
             // The target may have left meanwhile.
-            Gate::Open(_) if !cx.takes(picked.flight.key()) => return Ok(None),
+            Gate::Open(_) if !cx.takes(selected.flight.key()) => return Ok(None),
             Gate::Open(trial) => {
                 job.note_trial(trial.is_some());
-                picked.flight.set_trial(trial);
-                return Ok(Some(picked));
+                selected.flight.set_trial(trial);
+                return Ok(Some(selected));
             }
             Gate::Closed(left) => return Err(NotPlaced::quarantined(left)),
             Gate::Busy => {}
--- a/crates/stair-relay/src/prefill.rs
+++ b/crates/stair-relay/src/prefill.rs
@@ -19,10 +19,10 @@
 use crate::{
     context::Context,
     job::Job,
-    pick::{
-        LOOK_EVERY,
+    select::{
+        CHECK_INTERVAL,
         MAX_FULL,
-        RUN_TIME, //
+        RUN_DURATION, //
     },
 };
 
@@ -111,7 +111,7 @@
             .flag("yields", job.more_urgent.is_some())
             .write();
         if answer.wait <= of_use {
-            sleep(LOOK_EVERY).await;
+            sleep(CHECK_INTERVAL).await;
             return Reservation::Later;
         }
         return Reservation::Full(answer.wait);
@@ -128,7 +128,7 @@
 
 /// The longest wait for a slot after which a request is not too late.
 fn late_wait(objective: Duration) -> Duration {
-    (objective * LATE_TIMES).saturating_sub(RUN_TIME)
+    (objective * LATE_TIMES).saturating_sub(RUN_DURATION)
 }
 
 /// The longest wait for a slot that is of use: at first one after which the answer is on time, then
@@ -137,5 +137,5 @@
     let times = if opts.full < MAX_FULL { 1 } else { LATE_TIMES };
     let end = opts.until.min(opts.since + job.route.objective * times);
     end.saturating_duration_since(Instant::now())
-        .saturating_sub(RUN_TIME)
+        .saturating_sub(RUN_DURATION)
 }
--- a/crates/stair-relay/src/process.rs
+++ b/crates/stair-relay/src/process.rs
@@ -36,7 +36,7 @@
 const LISTEN_ON: Duration = Duration::from_millis(3500);
 
 /// Pause between looks whether all requests have been answered.
-const LOOK_EVERY: Duration = Duration::from_millis(50);
+const CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
 /// An entry whose addresses are bound.
 pub struct Entry {
@@ -154,6 +154,6 @@
         if quiet && begun.elapsed() >= LISTEN_ON {
             return;
         }
-        sleep(LOOK_EVERY).await;
+        sleep(CHECK_INTERVAL).await;
     }
 }
--- a/crates/stair-relay/src/relay.rs
+++ b/crates/stair-relay/src/relay.rs
@@ -42,7 +42,6 @@
     crash,
     failures::Failures,
     job::Job,
-    pick::Picked,
     place::{
         NotPlaced,
         pick_until,
@@ -53,6 +52,7 @@
         Reason,
         Refusal, //
     },
+    select::Selected,
     stream,
 };
 
@@ -188,12 +188,12 @@
     tried: &mut Tried,
 ) -> Result<Response<Body>, Refusal> {
     loop {
-        let (picked, outcome) = match once(cx, &job, tried, None).await {
+        let (selected, outcome) = match once(cx, &job, tried, None).await {
             Ok(both) => both,
             Err(e) => return Err(give_up(tried, e.reason, e.come_back)),
         };
         let retry = match outcome {
-            attempt::Outcome::Head(live) => match answer(cx, &job, picked, live, tried).await {
+            attempt::Outcome::Head(live) => match answer(cx, &job, selected, live, tried).await {
                 Answered::Done(resp) => return Ok(resp),
                 Answered::Failed(reason) => {
                     if !tried.may_run_again(&job) {
@@ -242,10 +242,10 @@
     job: &Job,
     tried: &mut Tried,
     after_event: Option<u64>,
-) -> Result<(Picked, attempt::Outcome), NotPlaced> {
-    let picked = place(cx, job, &tried.keys, after_event).await?;
-    let outcome = send(cx, job, tried, &picked, after_event).await;
-    Ok((picked, outcome))
+) -> Result<(Selected, attempt::Outcome), NotPlaced> {
+    let selected = place(cx, job, &tried.keys, after_event).await?;
+    let outcome = send(cx, job, tried, &selected, after_event).await;
+    Ok((selected, outcome))
 }
 
 /// Sends the request to a target once.
@@ -253,15 +253,15 @@
     cx: &Arc<Context>,
     job: &Job,
     tried: &mut Tried,
-    picked: &Picked,
+    selected: &Selected,
     after_event: Option<u64>,
 ) -> attempt::Outcome {
     let begun = Instant::now();
     job.note_sent(true);
-    let req = job.request(&picked.id, after_event);
+    let req = job.request(&selected.id, after_event);
     let until = attempt_until(job, tried);
-    let sent = attempt::send(picked.addr, req, &job.meta.id, until);
-    let (key, leaves) = (picked.flight.key(), pick_until(job, after_event));
+    let sent = attempt::send(selected.addr, req, &job.meta.id, until);
+    let (key, leaves) = (selected.flight.key(), pick_until(job, after_event));
     let gone = given_up(cx, &tried.keys, key, tried.may_be_left(job), leaves);
     let unanswered = crash::Unanswered::new(cx, job, key);
     let outcome = tokio::select! {
@@ -269,7 +269,7 @@
         () = gone => attempt::Outcome::Late,
     };
     unanswered.ended();
-    note(cx, job, tried, picked, &outcome, begun);
+    note(cx, job, tried, selected, &outcome, begun);
     job.note_sent(tried.ran > 0);
     outcome
 }
@@ -312,12 +312,12 @@
     cx: &Arc<Context>,
     job: &Job,
     tried: &mut Tried,
-    picked: &Picked,
+    selected: &Selected,
     outcome: &attempt::Outcome,
     begun: Instant,
 ) {
     use attempt::Outcome;
-    let key = picked.flight.key();
+    let key = selected.flight.key();
     let text = match outcome {
         Outcome::NotSent(e) => format!("not sent: {e}"),
         Outcome::NotRun { status, .. } => format!("not run: {status}"),
@@ -344,7 +344,7 @@
             instance,
             ..
         } => {
-            let other = instance.as_ref().is_some_and(|i| *i != picked.id);
+            let other = instance.as_ref().is_some_and(|i| *i != selected.id);
             match &job.meta.model {
                 // The target that was meant is gone, whatever the list still says.
                 _ if other => {
@@ -377,14 +377,14 @@
         tried.failures.served();
     }
     if let Some(engine) = former {
-        cx.report_former(engine, picked.id.clone());
+        cx.report_former(engine, selected.id.clone());
     }
     let line = match outcome {
         Outcome::Head(live) if live.head.status.is_success() => Line::new("attempt"),
         _ => Line::failure("attempt"),
     };
     line.text("id", &job.meta.id)
-        .text("target", &picked.id)
+        .text("target", &selected.id)
         .num("sent", tried.sent as i64)
         .text("outcome", &text)
         .ms("took_ms", begun.elapsed())
@@ -402,14 +402,14 @@
 async fn answer(
     cx: &Arc<Context>,
     job: &Arc<Job>,
-    picked: Picked,
+    selected: Selected,
     mut live: Live,
     tried: &mut Tried,
 ) -> Answered {
-    let key = picked.flight.key();
+    let key = selected.flight.key();
     let begun = Instant::now();
     if job.route.stream && live.head.status.is_success() {
-        return match stream::open(cx, job, picked, live, tried).await {
+        return match stream::open(cx, job, selected, live, tried).await {
             Ok(resp) => Answered::Done(resp),
             Err(reason) => Answered::Failed(reason),
         };
--- a/crates/stair-relay/src/pick.rs
+++ b/crates/stair-relay/src/select.rs
@@ -50,13 +50,13 @@
 };
 
 /// Time for an agent to bring an adapter, which may have to wait for a place.
-const ADAPTER_TIME: Duration = Duration::from_millis(1500);
+const ADAPTER_TIMEOUT: Duration = Duration::from_millis(1500);
 
 /// Time for which a further replica is of use: as long as requests wait for the slow one.
-const REPLICA_TIME: Duration = Duration::from_secs(2);
+const REPLICA_TTL: Duration = Duration::from_secs(2);
 
 /// Time that is left for the run itself when a load is waited for.
-pub(crate) const RUN_TIME: Duration = Duration::from_millis(400);
+pub(crate) const RUN_DURATION: Duration = Duration::from_millis(400);
 
 /// Retry-After if nothing says when a target will be free.
 pub(crate) const COME_BACK: Duration = Duration::from_millis(700);
@@ -65,10 +65,10 @@
 const MAX_ROUNDS: u32 = 12;
 
 /// The part of its time that a request waits for an engine that is down; the rest is for its client's return.
-const HELD_PART: u32 = 2;
+const OUTAGE_WAIT_DIVISOR: u32 = 2;
 
 /// Pause between looks for a target.
-pub(crate) const LOOK_EVERY: Duration = Duration::from_millis(300);
+pub(crate) const CHECK_INTERVAL: Duration = Duration::from_millis(300);
 
 /// Engines that may fail to bring the request's adapter before one is sent to all the same.
 const MAX_REFUSED: usize = 2;
@@ -77,7 +77,7 @@
 pub(crate) const MAX_FULL: u32 = 2;
 
 /// Where a request goes.
-pub struct Picked {
+pub struct Selected {
     /// It counts at the target from here on.
     pub flight: Flight,
     /// The target's address.
@@ -89,11 +89,11 @@
     /// Time that the target takes until the prompt is read, 0 if that is not known.
     pub reads: Duration,
     /// When it was picked, right before the request is sent.
-    pub at: Instant,
+    pub selected_at: Instant,
 }
 
 /// Nothing can run the request in time; when to come back.
-pub struct Nowhere {
+pub struct NoTarget {
     /// When to come back.
     pub come_back: Duration,
 }
@@ -103,50 +103,52 @@
 ///
 /// # Errors
 ///
-/// [`Nowhere`] as soon as it is clear that none can run the request in time.
-pub async fn pick(
+/// [`NoTarget`] as soon as it is clear that none can run the request in time.
+pub async fn select(
     cx: &Arc<Context>,
     job: &Job,
     tried: &[TargetKey],
     since: Instant,
     until: Instant,
-) -> Result<Picked, Nowhere> {
-    let mut looks = Looks::new(since, until);
-    let held_until = since + until.saturating_duration_since(since) / HELD_PART;
+) -> Result<Selected, NoTarget> {
+    let mut search = Search::new(since, until);
+    let outage_until = since + until.saturating_duration_since(since) / OUTAGE_WAIT_DIVISOR;
     let mut rounds = 0;
     while rounds < MAX_ROUNDS && Instant::now() < until {
-        let best = ready(cx, job, tried, false);
-        let mut left_out = looks.refused.clone();
-        left_out.extend_from_slice(tried);
+        let best = find_ready(cx, job, tried, false);
+        let mut excluded = search.refused.clone();
+        excluded.extend_from_slice(tried);
         let left = until.saturating_duration_since(Instant::now());
         let objective = job.route.objective;
-        let place = match &best {
-            Some(at) if !is_fast(at, objective) => place(cx, job, &left_out),
+        let placement = match &best {
+            Some(at) if !is_fast(at, objective) => replica_placement(cx, job, &excluded),
             _ => None,
         };
-        let decision = decide(best.as_ref(), place.as_ref(), objective, left);
+        let decision = decide(best.as_ref(), placement.as_ref(), objective, left);
         let step = match (decision, best) {
-            (Decision::Send, Some(at)) => send(cx, job, at, &mut looks).await,
+            (Decision::Send, Some(at)) => prepare(cx, job, at, &mut search).await,
             (Decision::SendAndLoad, Some(at)) => {
-                request_replica(cx, job, place.as_ref(), &mut looks);
-                send(cx, job, at, &mut looks).await
+                request_replica(cx, job, placement.as_ref(), &mut search);
+                prepare(cx, job, at, &mut search).await
             }
             (Decision::Refuse, Some(at)) => {
                 let come_back = Duration::from_secs_f64(at.wait_ms / 1000.0).saturating_sub(left);
-                return Err(Nowhere::after(come_back));
+                return Err(NoTarget::after(come_back));
             }
             _ => Step::Load,
         };
         let loaded = match step {
-            Step::Go(picked) => return Ok(picked),
-            Step::Again => None,
-            Step::Crowded(wait) => match &place {
-                Some(place) => Some(load_at(cx, job, place, &left_out, held_until, until).await),
-                None => return Err(Nowhere::after(wait)),
+            Step::Selected(selected) => return Ok(selected),
+            Step::Retry => None,
+            Step::SlotTooLate(wait) => match &placement {
+                Some(placement) => {
+                    Some(load_at(cx, job, placement, &excluded, outage_until, until).await)
+                }
+                None => return Err(NoTarget::after(wait)),
             },
             Step::Load => match job.model_of_engine() {
                 Some((model, engine)) => {
-                    Some(load(cx, job, model, engine, &left_out, held_until, until).await)
+                    Some(load(cx, job, model, engine, &excluded, outage_until, until).await)
                 }
                 None => break,
             },
@@ -155,25 +157,25 @@
             None | Some(Loaded::Ready) => {}
             // Bounded by the deadline.
             Some(Loaded::Waited) => continue,
-            Some(Loaded::Refused(key)) => looks.refused.push(key),
+            Some(Loaded::Refused(key)) => search.refused.push(key),
             Some(Loaded::Down) => {
-                outage::wait(cx, job, tried, held_until).await;
+                outage::wait(cx, job, tried, outage_until).await;
             }
             Some(Loaded::TooLate(come_back)) => {
-                if !outage::wait(cx, job, tried, held_until).await {
+                if !outage::wait(cx, job, tried, outage_until).await {
                     count_unserved(cx, job);
-                    return Err(Nowhere { come_back });
+                    return Err(NoTarget { come_back });
                 }
             }
-            Some(Loaded::Nowhere) => {
-                if !outage::wait(cx, job, tried, held_until).await {
+            Some(Loaded::NoCapacity) => {
+                if !outage::wait(cx, job, tried, outage_until).await {
                     break;
                 }
             }
         }
         rounds += 1;
     }
-    last_resort(cx, job, tried, &looks).await
+    select_suspect(cx, job, tried, &search).await
 }
 
 fn count_unserved(cx: &Context, job: &Job) {
@@ -184,29 +186,29 @@
 }
 
 /// A target under suspicion is better than none.
-async fn last_resort(
+async fn select_suspect(
     cx: &Arc<Context>,
     job: &Job,
     tried: &[TargetKey],
-    looks: &Looks,
-) -> Result<Picked, Nowhere> {
-    let Some(at) = ready(cx, job, tried, true) else {
-        return Err(Nowhere::after(Duration::ZERO));
+    search: &Search,
+) -> Result<Selected, NoTarget> {
+    let Some(at) = find_ready(cx, job, tried, true) else {
+        return Err(NoTarget::after(Duration::ZERO));
     };
     let opts = prefill::Options {
         full: MAX_FULL,
-        ..looks.reservation
+        ..search.reservation
     };
     match reserve(cx, job, at.key, &opts).await {
         Reservation::Now(prompt) => {
-            go(cx, job, at, prompt, true).ok_or(Nowhere::after(Duration::ZERO))
+            dispatch(cx, job, at, prompt, true).ok_or(NoTarget::after(Duration::ZERO))
         }
-        Reservation::Later => Err(Nowhere::after(Duration::ZERO)),
-        Reservation::Full(wait) => Err(Nowhere::after(wait)),
+        Reservation::Later => Err(NoTarget::after(Duration::ZERO)),
+        Reservation::Full(wait) => Err(NoTarget::after(wait)),
     }
 }
 
-impl Nowhere {
+impl NoTarget {
     fn after(come_back: Duration) -> Self {
         Self {
             come_back: come_back.max(COME_BACK),
@@ -215,7 +217,7 @@
 }
 
 /// What came of the looks for a target so far.
-struct Looks {
+struct Search {
     /// Engines that would not load what is needed.
     refused: Vec<TargetKey>,
     /// What the next slot is asked for with.
@@ -224,7 +226,7 @@
     replica_requested: bool,
 }
 
-impl Looks {
+impl Search {
     fn new(since: Instant, until: Instant) -> Self {
         Self {
             refused: Vec::new(),
@@ -240,32 +242,34 @@
 }
 
 enum Step {
-    Go(Picked),
+    Selected(Selected),
     /// Look again: something is known now that was not.
-    Again,
+    Retry,
     /// The slot would come too late everywhere.
-    Crowded(Duration),
+    SlotTooLate(Duration),
     /// No target can run it now.
     Load,
 }
 
 /// Has the adapter and the slot at a target, as far as possible.
-async fn send(cx: &Arc<Context>, job: &Job, at: choose::Outcome, looks: &mut Looks) -> Step {
-    if !adapter(cx, job, at.key, looks.reservation.until).await {
-        looks.refused.push(at.key);
-        if looks.refused.len() <= MAX_REFUSED {
-            return Step::Again;
+async fn prepare(cx: &Arc<Context>, job: &Job, at: choose::Outcome, search: &mut Search) -> Step {
+    if !ensure_adapter(cx, job, at.key, search.reservation.until).await {
+        search.refused.push(at.key);
+        if search.refused.len() <= MAX_REFUSED {
+            return Step::Retry;
         }
     }
-    let opts = looks.reservation;
-    looks.reservation.first = false;
+    let opts = search.reservation;
+    search.reservation.first = false;
     match reserve(cx, job, at.key, &opts).await {
-        Reservation::Now(prompt) => go(cx, job, at, prompt, false).map_or(Step::Again, Step::Go),
-        Reservation::Later => Step::Again,
-        Reservation::Full(wait) if opts.full >= MAX_FULL => Step::Crowded(wait),
+        Reservation::Now(prompt) => {
+            dispatch(cx, job, at, prompt, false).map_or(Step::Retry, Step::Selected)
+        }
+        Reservation::Later => Step::Retry,
+        Reservation::Full(wait) if opts.full >= MAX_FULL => Step::SlotTooLate(wait),
         Reservation::Full(_) => {
-            looks.reservation.full += 1;
-            Step::Again
+            search.reservation.full += 1;
+            Step::Retry
         }
     }
 }
@@ -274,34 +278,34 @@
 fn request_replica(
     cx: &Arc<Context>,
     job: &Job,
-    place: Option<&cold_start::Outcome>,
-    looks: &mut Looks,
+    placement: Option<&cold_start::Outcome>,
+    search: &mut Search,
 ) {
-    if let (Some(place), Some(model)) = (place, &job.meta.model)
-        && !std::mem::replace(&mut looks.replica_requested, true)
+    if let (Some(placement), Some(model)) = (placement, &job.meta.model)
+        && !std::mem::replace(&mut search.replica_requested, true)
     {
-        log_load(job, model, place, "beside");
+        log_load(job, model, placement, "beside");
         // The next report tells what came of it.
-        if let Some(mut pending) = ask(cx, model, place, REPLICA_TIME, true) {
+        if let Some(mut pending) = ask(cx, model, placement, REPLICA_TTL, true) {
             pending.stand();
         }
     }
 }
 
 /// The place for a further replica of a model whose best target is slow.
-pub(crate) fn place(
+pub(crate) fn replica_placement(
     cx: &Arc<Context>,
     job: &Job,
-    left_out: &[TargetKey],
+    excluded: &[TargetKey],
 ) -> Option<cold_start::Outcome> {
     let (model, engine) = job.model_of_engine()?;
     let state = cx.state();
     let now = cx.now();
-    let at = cold_start::choose(&state.view, &job.service, engine, model, left_out, now)?;
+    let at = cold_start::choose(&state.view, &job.service, engine, model, excluded, now)?;
     (at.from != Copy::Store).then_some(at)
 }
 
-pub(crate) fn ready(
+pub(crate) fn find_ready(
     cx: &Arc<Context>,
     job: &Job,
     tried: &[TargetKey],
@@ -323,13 +327,13 @@
 
 /// Returns where the request goes, unless the target has left while an adapter or a slot was waited for:
 /// what is sent to it after that is lost.
-fn go(
+fn dispatch(
     cx: &Arc<Context>,
     job: &Job,
     at: choose::Outcome,
     prompt: Prompt,
     suspects: bool,
-) -> Option<Picked> {
+) -> Option<Selected> {
     let (addr, id, age) = {
         let state = cx.state();
         let seen = state.view.get(at.key);
@@ -357,18 +361,18 @@
             age.unwrap_or(Duration::MAX.min(Duration::from_secs(999))),
         )
         .write();
-    Some(Picked {
+    Some(Selected {
         flight,
         addr,
         id,
         wait_ms: at.wait_ms,
         reads: prompt.reads,
-        at: Instant::now(),
+        selected_at: Instant::now(),
     })
 }
 
 /// Makes sure that the adapter is at the target, as far as its agent can be reached.
-async fn adapter(cx: &Arc<Context>, job: &Job, key: TargetKey, until: Instant) -> bool {
+async fn ensure_adapter(cx: &Arc<Context>, job: &Job, key: TargetKey, until: Instant) -> bool {
     let (Some(model), Some(adapter)) = (&job.meta.model, &job.meta.adapter) else {
         return true;
     };
@@ -388,13 +392,13 @@
         victims: Vec::new(),
         fetch: None,
         prefetch: false,
-        of_use: ADAPTER_TIME,
+        of_use: ADAPTER_TIMEOUT,
     };
     let begun = Instant::now();
     let Some(mut pending) = cx.request_load(addr, req) else {
         return false;
     };
-    let until = until.min(begun + ADAPTER_TIME);
+    let until = until.min(begun + ADAPTER_TIMEOUT);
     let outcome = timeout_at(until, pending.outcome()).await;
     Line::new("adapter")
         .text("id", &job.meta.id)
--- a/crates/stair-relay/src/stream.rs
+++ b/crates/stair-relay/src/stream.rs
@@ -42,13 +42,13 @@
     },
     crash,
     job::Job,
-    pick::Picked,
     place, quarantine,
     refuse::Reason,
     relay::{
         self,
         Tried, //
     },
+    select::Selected,
 };
 
 /// Events waiting for a client that reads slowly.
@@ -88,17 +88,17 @@
 pub async fn open(
     cx: &Arc<Context>,
     job: &Arc<Job>,
-    picked: Picked,
+    selected: Selected,
     live: Live,
     tried: &mut Tried,
 ) -> Result<Response<Body>, Reason> {
-    let key = picked.flight.key();
+    let key = selected.flight.key();
     let begun = Instant::now();
     let head = live.head.clone();
     let mut source = Source {
         begun,
         live,
-        flight: picked.flight,
+        flight: selected.flight,
         split: Splitter::default(),
     };
     let until = first_until(job, tried);
@@ -116,25 +116,25 @@
         Next::Broken(e) => {
             tried.keys.push(key);
             crash::note_cut(cx, job, key, Some(begun));
-            log_break(job, &picked.id, None, &e);
+            log_break(job, &selected.id, None, &e);
             return Err(Reason::Lost);
         }
         Next::Late => {
             tried.keys.push(key);
             crash::note_cut(cx, job, key, Some(begun));
-            log_break(job, &picked.id, None, "no first event in time");
+            log_break(job, &selected.id, None, "no first event in time");
             return Err(Reason::Late);
         }
     };
     source.flight.read();
     if first.is_some() {
-        cx.was_read(key, job, picked.reads, picked.at.elapsed());
+        cx.was_read(key, job, selected.reads, selected.selected_at.elapsed());
     }
     let took = begun.elapsed().as_secs_f64() * 1000.0;
     cx.state()
         .view
         .get_mut(key)
-        .learn_delay((took - picked.wait_ms).max(0.0) / 4.0);
+        .learn_delay((took - selected.wait_ms).max(0.0) / 4.0);
     cx.page.time("first_event_ms", &[], job.received.elapsed());
     let (tx, body) = channel(QUEUE);
     let pump = Pump {
@@ -205,7 +205,7 @@
     /// Silence, and no other target takes the stream.
     Nothing,
     /// Silence, and another target takes the stream.
-    Elsewhere(Picked),
+    Elsewhere(Selected),
     ClientGone,
 }
 
@@ -301,11 +301,11 @@
         if !matches!(next, Next::Late) || Instant::now() >= job.deadline {
             return Received::Next(next);
         }
-        let mut left_out = self.tried.keys.clone();
-        left_out.push(key);
+        let mut excluded = self.tried.keys.clone();
+        excluded.push(key);
         tokio::select! {
             next = source.next(job.deadline) => Received::Next(next),
-            place = place_elsewhere(&cx, &job, &left_out, self.last) => {
+            place = place_elsewhere(&cx, &job, &excluded, self.last) => {
                 place.map_or(Received::Nothing, Received::Elsewhere)
             }
             () = tx.closed() => Received::ClientGone,
@@ -344,18 +344,18 @@
     }
 
     /// Sends the request to a place that was found for it, or else to one that is found now.
-    async fn send(&mut self, place: Option<Picked>) -> Option<(Picked, attempt::Outcome)> {
+    async fn send(&mut self, place: Option<Selected>) -> Option<(Selected, attempt::Outcome)> {
         let (cx, job) = (&self.cx, &self.job);
-        let Some(picked) = place else {
+        let Some(selected) = place else {
             return relay::once(cx, job, &mut self.tried, self.last).await.ok();
         };
-        let outcome = relay::send(cx, job, &mut self.tried, &picked, self.last).await;
-        Some((picked, outcome))
+        let outcome = relay::send(cx, job, &mut self.tried, &selected, self.last).await;
+        Some((selected, outcome))
     }
 
     /// Goes on at another target after the last event; at first at the one that was found for it, which
     /// has been paid for.
-    async fn resume(&mut self, mut place: Option<Picked>) -> Option<Source> {
+    async fn resume(&mut self, mut place: Option<Selected>) -> Option<Source> {
         let resumable = self.job.route.repeat == Repeat::FromEvent;
         while resumable
             && self.last.is_some()
@@ -368,22 +368,22 @@
                 sent = self.send(place.take()) => sent,
                 () = tx.closed() => return None,
             };
-            let (picked, outcome) = sent?;
+            let (selected, outcome) = sent?;
             match outcome {
                 attempt::Outcome::Head(live) if live.head.status.is_success() => {
                     Line::new("resumed")
                         .text("id", &self.job.meta.id)
-                        .text("target", &picked.id)
+                        .text("target", &selected.id)
                         .num("after_event", self.last.unwrap_or(0))
                         .write();
                     return Some(Source {
                         begun: Instant::now(),
                         live,
-                        flight: picked.flight,
+                        flight: selected.flight,
                         split: Splitter::default(),
                     });
                 }
-                attempt::Outcome::Head(_) => self.tried.keys.push(picked.flight.key()),
+                attempt::Outcome::Head(_) => self.tried.keys.push(selected.flight.key()),
                 _ => {}
             }
         }
@@ -398,11 +398,11 @@
 async fn place_elsewhere(
     cx: &Arc<Context>,
     job: &Job,
-    left_out: &[TargetKey],
+    excluded: &[TargetKey],
     last: Option<u64>,
-) -> Option<Picked> {
-    let picked = place::place(cx, job, left_out, last).await.ok()?;
-    cx.may_retry(&job.service).then_some(picked)
+) -> Option<Selected> {
+    let selected = place::place(cx, job, excluded, last).await.ok()?;
+    cx.may_retry(&job.service).then_some(selected)
 }
 
 fn log_break(job: &Job, target: &str, after: Option<u64>, why: &str) {
