--- a/crates/stair-relay/src/admit.rs
+++ b/crates/stair-relay/src/admit.rs
@@ -65,14 +65,14 @@
         Grant, //
     },
     refuse::{
-        LEAVING_COME_BACK,
         Reason,
         Refusal, //
+        STOPPING_RETRY_AFTER,
     },
 };
 
 /// Retry-After of an entry without declarations; another entry may answer at once.
-const STARTING_COME_BACK: Duration = Duration::from_millis(300);
+const STARTING_RETRY_AFTER: Duration = Duration::from_millis(300);
 
 /// Time that a stream may need. A stopping entry with less left rejects it: the end of the process would cut it.
 const STREAM_TIME: Duration = Duration::from_millis(4600);
@@ -96,8 +96,8 @@
     check(&head.headers)?;
     let catalogue = cx.state().catalogue.clone();
     let Some(catalogue) = catalogue else {
-        let come_back = Some(STARTING_COME_BACK);
-        return Err(Refusal::not_run(Reason::Starting, come_back));
+        let retry_after = Some(STARTING_RETRY_AFTER);
+        return Err(Refusal::not_run(Reason::Starting, retry_after));
     };
     let route = find(&catalogue, &head.uri, &head.headers)
         .ok_or(Refusal::not_run(Reason::NoRoute, None))?
@@ -110,8 +110,8 @@
             PLAIN_TIME
         };
         if left < needed.min(route.timeout) {
-            let come_back = Some(LEAVING_COME_BACK);
-            return Err(Refusal::not_run(Reason::Leaving, come_back));
+            let retry_after = Some(STOPPING_RETRY_AFTER);
+            return Err(Refusal::not_run(Reason::Stopping, retry_after));
         }
     }
     let meta = Meta::decode(&head.headers);
--- a/crates/stair-relay/src/authorize.rs
+++ b/crates/stair-relay/src/authorize.rs
@@ -23,7 +23,7 @@
 
 /// When to come back with a key that is not known to an entry which hears no news of declarations: another
 /// entry may know it.
-const BEHIND_COME_BACK: Duration = Duration::from_millis(50);
+const LAGGING_RETRY_AFTER: Duration = Duration::from_millis(50);
 
 /// Finds the workspace of a request; `None` where none is needed and no known key is shown.
 ///
@@ -49,7 +49,7 @@
     }
     // A paying client whose key is new must not be told that it is wrong.
     if reason == Reason::UnknownKey && !cx.follow.is_current() {
-        return Err(Refusal::not_run(Reason::Behind, Some(BEHIND_COME_BACK)));
+        return Err(Refusal::not_run(Reason::Lagging, Some(LAGGING_RETRY_AFTER)));
     }
     Err(Refusal::not_run(reason, None))
 }
--- a/crates/stair-relay/src/load.rs
+++ b/crates/stair-relay/src/load.rs
@@ -39,7 +39,7 @@
     outage,
     select::{
         CHECK_INTERVAL,
-        COME_BACK,
+        DEFAULT_RETRY_AFTER,
         RUN_DURATION,
         find_ready, //
     },
@@ -112,7 +112,7 @@
         return Loaded::Down;
     }
     let waits = until.saturating_duration_since(begun);
-    let of_use = at.ready_in.max(waits + COME_BACK) + RETURN_TIME;
+    let of_use = at.ready_in.max(waits + DEFAULT_RETRY_AFTER) + RETURN_TIME;
     let Some(mut pending) = ask(cx, model, at, of_use, false) else {
         return Loaded::Refused(at.key);
     };
@@ -184,7 +184,9 @@
     why: cold_start::Error,
     until: Instant,
 ) -> Loaded {
-    let load = engine.model(model).map_or(COME_BACK, |m| m.from_store);
+    let load = engine
+        .model(model)
+        .map_or(DEFAULT_RETRY_AFTER, |m| m.from_store);
     match why {
         cold_start::Error::Nowhere => return Loaded::NoCapacity,
         cold_start::Error::Unheard => {
--- a/crates/stair-relay/src/place.rs
+++ b/crates/stair-relay/src/place.rs
@@ -19,10 +19,10 @@
         Gate, //
     },
     refuse::{
-        LEAVING_COME_BACK,
         Reason, //
+        STOPPING_RETRY_AFTER,
     },
-    relay::REFUSED_COME_BACK,
+    relay::REFUSED_RETRY_AFTER,
     select::{
         self,
         Selected, //
@@ -48,21 +48,21 @@
     /// Why.
     pub reason: Reason,
     /// When to come back.
-    pub come_back: Duration,
+    pub retry_after: Duration,
 }
 
 impl NotPlaced {
-    fn no_target(come_back: Duration) -> Self {
+    fn no_target(retry_after: Duration) -> Self {
         Self {
             reason: Reason::NoTarget,
-            come_back,
+            retry_after,
         }
     }
 
-    fn quarantined(come_back: Duration) -> Self {
+    fn quarantined(retry_after: Duration) -> Self {
         Self {
             reason: Reason::Quarantined,
-            come_back,
+            retry_after,
         }
     }
 }
@@ -83,7 +83,7 @@
     tokio::select! {
         selected = pick_permitted(cx, job, excluded, since, until) => selected,
         // A request that waits for a model when the process ends would get no answer at all.
-        () = cx.ending(LAST_REFUSALS) => Err(NotPlaced::no_target(LEAVING_COME_BACK)),
+        () = cx.ending(LAST_REFUSALS) => Err(NotPlaced::no_target(STOPPING_RETRY_AFTER)),
     }
 }
 
@@ -100,7 +100,7 @@
             return Err(NotPlaced::quarantined(left));
         }
         let selected = select::select(cx, job, excluded, since, until).await;
-        let selected = selected.map_err(|e| NotPlaced::no_target(e.come_back))?;
+        let selected = selected.map_err(|e| NotPlaced::no_target(e.retry_after))?;
         if let Some(selected) = permit(cx, job, selected, until).await? {
             return Ok(selected);
         }
@@ -129,7 +129,7 @@
         }
         let next = Instant::now() + TRIAL_PAUSE;
         if next >= until {
-            return Err(NotPlaced::no_target(REFUSED_COME_BACK));
+            return Err(NotPlaced::no_target(REFUSED_RETRY_AFTER));
         }
         if next >= look_on {
             return Ok(None);
--- a/crates/stair-relay/src/quota.rs
+++ b/crates/stair-relay/src/quota.rs
@@ -178,8 +178,8 @@
             .show("by", format_args!("{by:?}"))
             .ms("come_back_ms", answer.wait)
             .write();
-        let come_back = Some(answer.wait);
-        return Err(Refusal::not_run(Reason::OverQuota, come_back));
+        let retry_after = Some(answer.wait);
+        return Err(Refusal::not_run(Reason::OverQuota, retry_after));
     }
     let grant = Grant {
         cx: cx.clone(),
--- a/crates/stair-relay/src/refuse.rs
+++ b/crates/stair-relay/src/refuse.rs
@@ -24,7 +24,7 @@
 const VERDICT: HeaderName = HeaderName::from_static("dandelionstair-verdict");
 
 /// When to come back after an entry that stops refused: a new connection goes to another at once.
-pub const LEAVING_COME_BACK: Duration = Duration::from_millis(50);
+pub const STOPPING_RETRY_AFTER: Duration = Duration::from_millis(50);
 
 /// Why the entry answers itself.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -32,7 +32,7 @@
     /// No catalogue is known yet.
     Starting,
     /// The process stops before the request would be answered.
-    Leaving,
+    Stopping,
     /// No route has this host and path.
     NoRoute,
     /// The request has no key, and its route needs one.
@@ -42,7 +42,7 @@
     /// Its key belongs to no workspace.
     UnknownKey,
     /// Its key is not known here, and newer declarations may be in force elsewhere.
-    Behind,
+    Lagging,
     /// Its workspace has used its allowance up.
     OverQuota,
     /// It has ended the targets that ran it.
@@ -68,12 +68,12 @@
     pub fn as_str(self) -> &'static str {
         match self {
             Self::Starting => "starting",
-            Self::Leaving => "leaving",
+            Self::Stopping => "leaving",
             Self::NoRoute => "no-route",
             Self::NoKey => "no-key",
             Self::BadKey => "bad-key",
             Self::UnknownKey => "unknown-key",
-            Self::Behind => "behind",
+            Self::Lagging => "behind",
             Self::OverQuota => "over-allowance",
             Self::Quarantined => "quarantined",
             Self::Malformed => "malformed",
@@ -95,8 +95,8 @@
             Self::TooLarge => StatusCode::PAYLOAD_TOO_LARGE,
             Self::TooSlow => StatusCode::REQUEST_TIMEOUT,
             Self::Starting
-            | Self::Leaving
-            | Self::Behind
+            | Self::Stopping
+            | Self::Lagging
             | Self::Quarantined
             | Self::NoTarget
             | Self::Refused => StatusCode::SERVICE_UNAVAILABLE,
@@ -116,16 +116,16 @@
     /// [`Verdict::NotRun`].
     pub verdict: Verdict,
     /// When to come back, if that helps.
-    pub come_back: Option<Duration>,
+    pub retry_after: Option<Duration>,
 }
 
 impl Refusal {
     /// Makes one for a request that has not run.
-    pub fn not_run(reason: Reason, come_back: Option<Duration>) -> Self {
+    pub fn not_run(reason: Reason, retry_after: Option<Duration>) -> Self {
         Self {
             reason,
             verdict: Verdict::NotRun,
-            come_back,
+            retry_after,
         }
     }
 
@@ -134,7 +134,7 @@
         Self {
             reason,
             verdict: Verdict::MayHaveRun,
-            come_back: None,
+            retry_after: None,
         }
     }
 
@@ -156,7 +156,7 @@
         headers.insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
         let verdict = HeaderValue::from_static(self.verdict.as_str());
         headers.insert(VERDICT, verdict);
-        if let Some(t) = self.come_back {
+        if let Some(t) = self.retry_after {
             let text = format!("{:.2}", t.as_secs_f64());
             if let Ok(value) = HeaderValue::from_str(&text) {
                 headers.insert(RETRY_AFTER, value);
--- a/crates/stair-relay/src/relay.rs
+++ b/crates/stair-relay/src/relay.rs
@@ -57,7 +57,7 @@
 };
 
 /// Retry-After when all targets were full.
-pub(crate) const REFUSED_COME_BACK: Duration = Duration::from_millis(500);
+pub(crate) const REFUSED_RETRY_AFTER: Duration = Duration::from_millis(500);
 
 /// Targets that one request is sent to at most while each says that it has not run it.
 const MAX_SENDS: usize = 4;
@@ -84,7 +84,7 @@
                 .text("verdict", refusal.verdict.as_str())
                 .num("status", refusal.status().as_u16())
                 .ms("took_ms", received.elapsed())
-                .ms("come_back_ms", refusal.come_back.unwrap_or_default())
+                .ms("come_back_ms", refusal.retry_after.unwrap_or_default())
                 .write();
             let labels = [("reason", refusal.reason.as_str())];
             cx.page.count("refusals_total", &labels, 1);
@@ -190,7 +190,7 @@
     loop {
         let (selected, outcome) = match once(cx, &job, tried, None).await {
             Ok(both) => both,
-            Err(e) => return Err(give_up(tried, e.reason, e.come_back)),
+            Err(e) => return Err(give_up(tried, e.reason, e.retry_after)),
         };
         let retry = match outcome {
             attempt::Outcome::Head(live) => match answer(cx, &job, selected, live, tried).await {
@@ -212,18 +212,18 @@
             attempt::Outcome::Lost(_) => Reason::Lost,
         };
         if tried.ran > 0 && Instant::now() >= pick_until(&job, None) {
-            return Err(give_up(tried, retry, REFUSED_COME_BACK));
+            return Err(give_up(tried, retry, REFUSED_RETRY_AFTER));
         }
         let paid = std::mem::take(&mut tried.paid) || tried.sent == 0;
         if tried.sent >= MAX_SENDS || !(paid || cx.may_retry(&job.service)) {
-            return Err(give_up(tried, retry, REFUSED_COME_BACK));
+            return Err(give_up(tried, retry, REFUSED_RETRY_AFTER));
         }
     }
 }
 
-fn give_up(tried: &Tried, reason: Reason, come_back: Duration) -> Refusal {
+fn give_up(tried: &Tried, reason: Reason, retry_after: Duration) -> Refusal {
     if tried.ran == 0 {
-        return Refusal::not_run(reason, Some(come_back));
+        return Refusal::not_run(reason, Some(retry_after));
     }
     let reason = match reason {
         Reason::Late => Reason::Late,
--- a/crates/stair-relay/src/select.rs
+++ b/crates/stair-relay/src/select.rs
@@ -59,7 +59,7 @@
 pub(crate) const RUN_DURATION: Duration = Duration::from_millis(400);
 
 /// Retry-After if nothing says when a target will be free.
-pub(crate) const COME_BACK: Duration = Duration::from_millis(700);
+pub(crate) const DEFAULT_RETRY_AFTER: Duration = Duration::from_millis(700);
 
 /// Rounds in which one request may look for a target, lest it go on for ever between agents that refuse it.
 const MAX_ROUNDS: u32 = 12;
@@ -95,7 +95,7 @@
 /// Nothing can run the request in time; when to come back.
 pub struct NoTarget {
     /// When to come back.
-    pub come_back: Duration,
+    pub retry_after: Duration,
 }
 
 /// Chooses a target that has not been tried, until `until`. The time in which the route promises an
@@ -132,8 +132,8 @@
                 prepare(cx, job, at, &mut search).await
             }
             (Decision::Refuse, Some(at)) => {
-                let come_back = Duration::from_secs_f64(at.wait_ms / 1000.0).saturating_sub(left);
-                return Err(NoTarget::after(come_back));
+                let retry_after = Duration::from_secs_f64(at.wait_ms / 1000.0).saturating_sub(left);
+                return Err(NoTarget::after(retry_after));
             }
             _ => Step::Load,
         };
@@ -161,10 +161,10 @@
             Some(Loaded::Down) => {
                 outage::wait(cx, job, tried, outage_until).await;
             }
-            Some(Loaded::TooLate(come_back)) => {
+            Some(Loaded::TooLate(retry_after)) => {
                 if !outage::wait(cx, job, tried, outage_until).await {
                     count_unserved(cx, job);
-                    return Err(NoTarget { come_back });
+                    return Err(NoTarget { retry_after });
                 }
             }
             Some(Loaded::NoCapacity) => {
@@ -209,9 +209,9 @@
 }
 
 impl NoTarget {
-    fn after(come_back: Duration) -> Self {
+    fn after(retry_after: Duration) -> Self {
         Self {
-            come_back: come_back.max(COME_BACK),
+            retry_after: retry_after.max(DEFAULT_RETRY_AFTER),
         }
     }
 }
