--- a/crates/stair-relay/src/place.rs
+++ b/crates/stair-relay/src/assign.rs
@@ -30,28 +30,28 @@
 };
 
 /// Time before the process's end at which waiting requests are rejected, for the rejections to arrive.
-const LAST_REFUSALS: Duration = Duration::from_millis(500);
+const STOP_REFUSAL_MARGIN: Duration = Duration::from_millis(500);
 
 /// Time before its client leaves at which a waiting request is rejected: a round trip and the longest pause of a
 /// busy entry. Later, the client would not learn that it has not run.
-const REFUSAL_TIME: Duration = Duration::from_millis(150);
+const CLIENT_REFUSAL_MARGIN: Duration = Duration::from_millis(150);
 
 /// Pause before a suspect asks again whether it may run.
-const TRIAL_PAUSE: Duration = Duration::from_millis(100);
+const TRIAL_RETRY_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Time that a suspect waits at one target. Each look for another reserves a prefill slot there.
-const TRIAL_WAIT: Duration = Duration::from_millis(1000);
+const TRIAL_TIMEOUT: Duration = Duration::from_millis(1000);
 
 /// No target gets the request.
 #[derive(Debug, Clone, Copy)]
-pub struct NotPlaced {
+pub struct NotAssigned {
     /// Why.
     pub reason: Reason,
     /// When to come back.
     pub retry_after: Duration,
 }
 
-impl NotPlaced {
+impl NotAssigned {
     fn no_target(retry_after: Duration) -> Self {
         Self {
             reason: Reason::NoTarget,
@@ -71,36 +71,36 @@
 ///
 /// # Errors
 ///
-/// [`NotPlaced`] if no target can run it in time, or none may.
-pub async fn place(
+/// [`NotAssigned`] if no target can run it in time, or none may.
+pub async fn assign(
     cx: &Arc<Context>,
     job: &Job,
     excluded: &[TargetKey],
     after_event: Option<u64>,
-) -> Result<Selected, NotPlaced> {
+) -> Result<Selected, NotAssigned> {
     let since = after_event.map_or(job.received, |_| Instant::now());
-    let until = pick_until(job, after_event);
+    let until = selection_deadline(job, after_event);
     tokio::select! {
-        selected = pick_permitted(cx, job, excluded, since, until) => selected,
+        selected = select_permitted(cx, job, excluded, since, until) => selected,
         // A request that waits for a model when the process ends would get no answer at all.
-        () = cx.ending(LAST_REFUSALS) => Err(NotPlaced::no_target(STOPPING_RETRY_AFTER)),
+        () = cx.ending(STOP_REFUSAL_MARGIN) => Err(NotAssigned::no_target(STOPPING_RETRY_AFTER)),
     }
 }
 
 /// Picks a target at which the request may run now.
-async fn pick_permitted(
+async fn select_permitted(
     cx: &Arc<Context>,
     job: &Job,
     excluded: &[TargetKey],
     since: Instant,
     until: Instant,
-) -> Result<Selected, NotPlaced> {
+) -> Result<Selected, NotAssigned> {
     loop {
         if let Some(left) = quarantine::held(cx, job) {
-            return Err(NotPlaced::quarantined(left));
+            return Err(NotAssigned::quarantined(left));
         }
         let selected = select::select(cx, job, excluded, since, until).await;
-        let selected = selected.map_err(|e| NotPlaced::no_target(e.retry_after))?;
+        let selected = selected.map_err(|e| NotAssigned::no_target(e.retry_after))?;
         if let Some(selected) = permit(cx, job, selected, until).await? {
             return Ok(selected);
         }
@@ -113,8 +113,8 @@
     job: &Job,
     mut selected: Selected,
     until: Instant,
-) -> Result<Option<Selected>, NotPlaced> {
-    let look_on = Instant::now() + TRIAL_WAIT;
+) -> Result<Option<Selected>, NotAssigned> {
+    let reselect_at = Instant::now() + TRIAL_TIMEOUT;
     loop {
         match quarantine::gate(cx, job, &selected.id).await {
             // The target may have left meanwhile.
@@ -124,26 +124,29 @@
                 selected.flight.set_trial(trial);
                 return Ok(Some(selected));
             }
-            Gate::Closed(left) => return Err(NotPlaced::quarantined(left)),
+            Gate::Closed(left) => return Err(NotAssigned::quarantined(left)),
             Gate::Busy => {}
         }
-        let next = Instant::now() + TRIAL_PAUSE;
+        let next = Instant::now() + TRIAL_RETRY_INTERVAL;
         if next >= until {
-            return Err(NotPlaced::no_target(REFUSED_RETRY_AFTER));
+            return Err(NotAssigned::no_target(REFUSED_RETRY_AFTER));
         }
-        if next >= look_on {
+        if next >= reselect_at {
             return Ok(None);
         }
-        sleep(TRIAL_PAUSE).await;
+        sleep(TRIAL_RETRY_INTERVAL).await;
     }
 }
 
 /// When no target is looked for any longer. A request that waited on would find its client gone;
 /// one that is refused before may come back to a model that is there by then.
-pub fn pick_until(job: &Job, after_event: Option<u64>) -> Instant {
+pub fn selection_deadline(job: &Job, after_event: Option<u64>) -> Instant {
     if !job.route.stream || after_event.is_some() {
         return job.deadline;
     }
-    let leaves = job.route.client_waits().saturating_sub(REFUSAL_TIME);
+    let leaves = job
+        .route
+        .client_waits()
+        .saturating_sub(CLIENT_REFUSAL_MARGIN);
     job.deadline.min(job.received + leaves)
 }
--- a/crates/stair-relay/src/lib.rs
+++ b/crates/stair-relay/src/lib.rs
@@ -1,7 +1,7 @@
 //! The entry in front of targets that announce themselves in the store.
 //!
 //! The path of a request: [`serve`] accepts it, [`admit`] finds its route, [`authorize`] its workspace, [`quota`]
-//! charges it. As a [`job`] it goes through [`relay`]: [`place`] finds a target where it may run, [`select`] chooses that,
+//! charges it. As a [`job`] it goes through [`relay`]: [`assign`] finds a target where it may run, [`select`] chooses that,
 //! [`load`] has the model loaded there, [`outage`] waits for an engine that is down, [`prefill`] reserves a prefill
 //! slot, [`attempt`] sends it, [`stream`] passes events and resumes. [`failures`] counts failures of targets, `crash`
 //! finds out which requests were on a target that ended, `quarantine` keeps those from targets that end them, [`refuse`]
@@ -17,6 +17,7 @@
 #![forbid(unsafe_code)]
 
 pub mod admit;
+pub mod assign;
 pub mod attempt;
 pub mod authorize;
 pub mod change;
@@ -31,7 +32,6 @@
 pub mod outage;
 pub mod owner;
 pub mod peers;
-pub mod place;
 pub mod prefetch;
 pub mod prefill;
 pub mod process;
--- a/crates/stair-relay/src/relay.rs
+++ b/crates/stair-relay/src/relay.rs
@@ -34,6 +34,11 @@
         admit,
         strip_hop, //
     },
+    assign::{
+        NotAssigned,
+        assign, //
+        selection_deadline,
+    },
     attempt::{
         self,
         Live, //
@@ -42,11 +47,6 @@
     crash,
     failures::Failures,
     job::Job,
-    place::{
-        NotPlaced,
-        pick_until,
-        place, //
-    },
     quarantine,
     refuse::{
         Reason,
@@ -211,7 +211,7 @@
             attempt::Outcome::Late => Reason::Late,
             attempt::Outcome::Lost(_) => Reason::Lost,
         };
-        if tried.ran > 0 && Instant::now() >= pick_until(&job, None) {
+        if tried.ran > 0 && Instant::now() >= selection_deadline(&job, None) {
             return Err(give_up(tried, retry, REFUSED_RETRY_AFTER));
         }
         let paid = std::mem::take(&mut tried.paid) || tried.sent == 0;
@@ -236,14 +236,14 @@
 ///
 /// # Errors
 ///
-/// [`NotPlaced`] if no target can run it in time, or none may.
+/// [`NotAssigned`] if no target can run it in time, or none may.
 pub async fn once(
     cx: &Arc<Context>,
     job: &Job,
     tried: &mut Tried,
     after_event: Option<u64>,
-) -> Result<(Selected, attempt::Outcome), NotPlaced> {
-    let selected = place(cx, job, &tried.keys, after_event).await?;
+) -> Result<(Selected, attempt::Outcome), NotAssigned> {
+    let selected = assign(cx, job, &tried.keys, after_event).await?;
     let outcome = send(cx, job, tried, &selected, after_event).await;
     Ok((selected, outcome))
 }
@@ -261,7 +261,7 @@
     let req = job.request(&selected.id, after_event);
     let until = attempt_until(job, tried);
     let sent = attempt::send(selected.addr, req, &job.meta.id, until);
-    let (key, leaves) = (selected.flight.key(), pick_until(job, after_event));
+    let (key, leaves) = (selected.flight.key(), selection_deadline(job, after_event));
     let gone = given_up(cx, &tried.keys, key, tried.may_be_left(job), leaves);
     let unanswered = crash::Unanswered::new(cx, job, key);
     let outcome = tokio::select! {
--- a/crates/stair-relay/src/stream.rs
+++ b/crates/stair-relay/src/stream.rs
@@ -32,6 +32,7 @@
 };
 
 use crate::{
+    assign,
     attempt::{
         self,
         Live, //
@@ -42,7 +43,7 @@
     },
     crash,
     job::Job,
-    place, quarantine,
+    quarantine,
     refuse::Reason,
     relay::{
         self,
@@ -102,7 +103,7 @@
         split: Splitter::default(),
     };
     let until = first_until(job, tried);
-    let leaves = place::pick_until(job, None);
+    let leaves = assign::selection_deadline(job, None);
     let gone = relay::given_up(cx, &tried.keys, key, tried.may_run_again(job), leaves);
     let unanswered = crash::Unanswered::new(cx, job, key);
     let next = tokio::select! {
@@ -257,7 +258,7 @@
         }
         let mut source = source;
         loop {
-            let (why, place) = match self.receive(&mut source).await {
+            let (why, target) = match self.receive(&mut source).await {
                 Received::Next(Next::Event(event)) => match self.pass(event).await {
                     None => continue,
                     Some(ended) => return ended,
@@ -267,7 +268,7 @@
                 Received::Next(Next::Late) => ("no event in time".into(), None),
                 // It is left to its target, which may only be busy.
                 Received::Nothing => continue,
-                Received::Elsewhere(place) => ("no event in time".into(), Some(place)),
+                Received::Elsewhere(target) => ("no event in time".into(), Some(target)),
                 Received::ClientGone => return Ended::ClientGone,
             };
             let key = source.flight.key();
@@ -276,7 +277,7 @@
             // The engine stops when its connection closes, so that the two runs do not overlap.
             drop(source);
             self.tried.keys.push(key);
-            source = match self.resume(place).await {
+            source = match self.resume(target).await {
                 Some(source) => source,
                 None => return Ended::Cut(why),
             };
@@ -305,8 +306,8 @@
         excluded.push(key);
         tokio::select! {
             next = source.next(job.deadline) => Received::Next(next),
-            place = place_elsewhere(&cx, &job, &excluded, self.last) => {
-                place.map_or(Received::Nothing, Received::Elsewhere)
+            target = assign_elsewhere(&cx, &job, &excluded, self.last) => {
+                target.map_or(Received::Nothing, Received::Elsewhere)
             }
             () = tx.closed() => Received::ClientGone,
         }
@@ -344,9 +345,9 @@
     }
 
     /// Sends the request to a place that was found for it, or else to one that is found now.
-    async fn send(&mut self, place: Option<Selected>) -> Option<(Selected, attempt::Outcome)> {
+    async fn send(&mut self, target: Option<Selected>) -> Option<(Selected, attempt::Outcome)> {
         let (cx, job) = (&self.cx, &self.job);
-        let Some(selected) = place else {
+        let Some(selected) = target else {
             return relay::once(cx, job, &mut self.tried, self.last).await.ok();
         };
         let outcome = relay::send(cx, job, &mut self.tried, &selected, self.last).await;
@@ -355,17 +356,17 @@
 
     /// Goes on at another target after the last event; at first at the one that was found for it, which
     /// has been paid for.
-    async fn resume(&mut self, mut place: Option<Selected>) -> Option<Source> {
+    async fn resume(&mut self, mut target: Option<Selected>) -> Option<Source> {
         let resumable = self.job.route.repeat == Repeat::FromEvent;
         while resumable
             && self.last.is_some()
             && self.tried.may_run_again(&self.job)
             && Instant::now() < self.job.deadline
-            && (place.is_some() || self.cx.may_retry(&self.job.service))
+            && (target.is_some() || self.cx.may_retry(&self.job.service))
         {
             let tx = self.tx.clone();
             let sent = tokio::select! {
-                sent = self.send(place.take()) => sent,
+                sent = self.send(target.take()) => sent,
                 () = tx.closed() => return None,
             };
             let (selected, outcome) = sent?;
@@ -395,13 +396,13 @@
 ///
 /// A client whose answer is cut for a silence has nothing; were the stream given up before it is known
 /// that another target takes it, that would happen wherever all are busy.
-async fn place_elsewhere(
+async fn assign_elsewhere(
     cx: &Arc<Context>,
     job: &Job,
     excluded: &[TargetKey],
     last: Option<u64>,
 ) -> Option<Selected> {
-    let selected = place::place(cx, job, excluded, last).await.ok()?;
+    let selected = assign::assign(cx, job, excluded, last).await.ok()?;
     cx.may_retry(&job.service).then_some(selected)
 }
 
