--- a/crates/stair-relay/src/assign.rs
+++ b/crates/stair-relay/src/assign.rs
@@ -118,10 +118,10 @@
     loop {
         match quarantine::gate(cx, job, &selected.id).await {
             // The target may have left meanwhile.
-            Gate::Open(_) if !cx.takes(selected.flight.key()) => return Ok(None),
+            Gate::Open(_) if !cx.takes(selected.in_flight.key()) => return Ok(None),
             Gate::Open(trial) => {
                 job.note_trial(trial.is_some());
-                selected.flight.set_trial(trial);
+                selected.in_flight.set_trial(trial);
                 return Ok(Some(selected));
             }
             Gate::Closed(left) => return Err(NotAssigned::quarantined(left)),
--- a/crates/stair-relay/src/context.rs
+++ b/crates/stair-relay/src/context.rs
@@ -1,7 +1,7 @@
 //! What all parts of one entry share.
 
 mod agents;
-mod flight;
+mod in_flight;
 mod pending_load;
 mod retries;
 mod usage;
@@ -68,8 +68,8 @@
     quota::Quotas,
 };
 
-pub use flight::{
-    Flight,
+pub use in_flight::{
+    InFlight,
     Serving, //
 };
 pub use pending_load::PendingLoad;
--- a/crates/stair-relay/src/context/flight.rs
+++ b/crates/stair-relay/src/context/in_flight.rs
@@ -14,7 +14,7 @@
 use crate::quarantine::Trial;
 
 /// One request in flight at a target; it counts until this is dropped.
-pub struct Flight {
+pub struct InFlight {
     cx: Arc<Context>,
     key: TargetKey,
     engine: SocketAddr,
@@ -24,7 +24,7 @@
     _trial: Option<Box<Trial>>,
 }
 
-impl Flight {
+impl InFlight {
     /// Notes that a request with so many prompt tokens goes to a target, for a model and perhaps
     /// an adapter.
     pub fn begin(
@@ -77,7 +77,7 @@
     }
 }
 
-impl Drop for Flight {
+impl Drop for InFlight {
     fn drop(&mut self) {
         self.read();
         let mut state = self.cx.state();
--- a/crates/stair-relay/src/relay.rs
+++ b/crates/stair-relay/src/relay.rs
@@ -261,7 +261,10 @@
     let req = job.request(&selected.id, after_event);
     let until = attempt_until(job, tried);
     let sent = attempt::send(selected.addr, req, &job.meta.id, until);
-    let (key, leaves) = (selected.flight.key(), selection_deadline(job, after_event));
+    let (key, leaves) = (
+        selected.in_flight.key(),
+        selection_deadline(job, after_event),
+    );
     let gone = given_up(cx, &tried.keys, key, tried.may_be_left(job), leaves);
     let unanswered = crash::Unanswered::new(cx, job, key);
     let outcome = tokio::select! {
@@ -317,7 +320,7 @@
     begun: Instant,
 ) {
     use attempt::Outcome;
-    let key = selected.flight.key();
+    let key = selected.in_flight.key();
     let text = match outcome {
         Outcome::NotSent(e) => format!("not sent: {e}"),
         Outcome::NotRun { status, .. } => format!("not run: {status}"),
@@ -406,7 +409,7 @@
     mut live: Live,
     tried: &mut Tried,
 ) -> Answered {
-    let key = selected.flight.key();
+    let key = selected.in_flight.key();
     let begun = Instant::now();
     if job.route.stream && live.head.status.is_success() {
         return match stream::open(cx, job, selected, live, tried).await {
--- a/crates/stair-relay/src/select.rs
+++ b/crates/stair-relay/src/select.rs
@@ -30,7 +30,7 @@
 use crate::{
     context::{
         Context,
-        Flight, //
+        InFlight, //
     },
     job::Job,
     load::{
@@ -79,7 +79,7 @@
 /// Where a request goes.
 pub struct Selected {
     /// It counts at the target from here on.
-    pub flight: Flight,
+    pub in_flight: InFlight,
     /// The target's address.
     pub addr: SocketAddr,
     /// The target's id.
@@ -348,7 +348,7 @@
     };
     let model = job.model_of_engine().map(|(m, _)| m);
     let adapter = job.meta.adapter.as_deref();
-    let flight = Flight::begin(cx.clone(), at.key, model, adapter, job.meta.prompt_tokens);
+    let in_flight = InFlight::begin(cx.clone(), at.key, model, adapter, job.meta.prompt_tokens);
     Line::new("chosen")
         .text("id", &job.meta.id)
         .text("target", &id)
@@ -362,7 +362,7 @@
         )
         .write();
     Some(Selected {
-        flight,
+        in_flight,
         addr,
         id,
         wait_ms: at.wait_ms,
--- a/crates/stair-relay/src/stream.rs
+++ b/crates/stair-relay/src/stream.rs
@@ -39,7 +39,7 @@
     },
     context::{
         Context,
-        Flight, //
+        InFlight, //
     },
     crash,
     job::Job,
@@ -77,7 +77,7 @@
     /// When the head of the answer came.
     begun: Instant,
     live: Live,
-    flight: Flight,
+    in_flight: InFlight,
     split: Splitter,
 }
 
@@ -93,13 +93,13 @@
     live: Live,
     tried: &mut Tried,
 ) -> Result<Response<Body>, Reason> {
-    let key = selected.flight.key();
+    let key = selected.in_flight.key();
     let begun = Instant::now();
     let head = live.head.clone();
     let mut source = Source {
         begun,
         live,
-        flight: selected.flight,
+        in_flight: selected.in_flight,
         split: Splitter::default(),
     };
     let until = first_until(job, tried);
@@ -127,7 +127,7 @@
             return Err(Reason::Late);
         }
     };
-    source.flight.read();
+    source.in_flight.read();
     if first.is_some() {
         cx.was_read(key, job, selected.reads, selected.selected_at.elapsed());
     }
@@ -271,7 +271,7 @@
                 Received::Elsewhere(target) => ("no event in time".into(), Some(target)),
                 Received::ClientGone => return Ended::ClientGone,
             };
-            let key = source.flight.key();
+            let key = source.in_flight.key();
             crash::note_cut(&self.cx, &self.job, key, Some(source.begun));
             log_break(&self.job, "", self.last, &why);
             // The engine stops when its connection closes, so that the two runs do not overlap.
@@ -288,7 +288,7 @@
     async fn receive(&mut self, source: &mut Source) -> Received {
         let (cx, job, tx) = (self.cx.clone(), self.job.clone(), self.tx.clone());
         let until = self.pause_until();
-        let key = source.flight.key();
+        let key = source.in_flight.key();
         let may_leave = until < job.deadline && self.left_for_quiet != Some(key);
         let own = [key];
         let next = tokio::select! {
@@ -380,11 +380,11 @@
                     return Some(Source {
                         begun: Instant::now(),
                         live,
-                        flight: selected.flight,
+                        in_flight: selected.in_flight,
                         split: Splitter::default(),
                     });
                 }
-                attempt::Outcome::Head(_) => self.tried.keys.push(selected.flight.key()),
+                attempt::Outcome::Head(_) => self.tried.keys.push(selected.in_flight.key()),
                 _ => {}
             }
         }
