--- a/crates/stair-relay/src/assign.rs
+++ b/crates/stair-relay/src/assign.rs
@@ -120,7 +120,7 @@
             // The target may have left meanwhile.
             Gate::Open(_) if !cx.takes(selected.in_flight.key()) => return Ok(None),
             Gate::Open(trial) => {
-                job.note_trial(trial.is_some());
+                job.set_on_trial(trial.is_some());
                 selected.in_flight.set_trial(trial);
                 return Ok(Some(selected));
             }
--- a/crates/stair-relay/src/attempt.rs
+++ b/crates/stair-relay/src/attempt.rs
@@ -35,7 +35,7 @@
 };
 
 /// Time to open a connection. A lost packet is sent again after a second; another target is faster.
-const CONNECT_TIME: Duration = Duration::from_millis(500);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// Longest head of a target's answer.
 const MAX_HEAD_BYTES: usize = 64 << 10;
@@ -61,12 +61,12 @@
     /// The time was up before the head of the answer.
     Late,
     /// The head of the target's own answer.
-    Head(Live),
+    Head(LiveResponse),
 }
 
 /// An answer whose body is still to be read. Dropping it closes the connection, which makes the
 /// target stop its work.
-pub struct Live {
+pub struct LiveResponse {
     /// Status and headers.
     pub head: hyper::http::response::Parts,
     body: Incoming,
@@ -88,7 +88,7 @@
     id: &str,
     until: Instant,
 ) -> Outcome {
-    let stream = match timeout(CONNECT_TIME, TcpStream::connect(addr)).await {
+    let stream = match timeout(CONNECT_TIMEOUT, TcpStream::connect(addr)).await {
         Ok(Ok(stream)) => stream,
         Ok(Err(e)) => return Outcome::NotSent(e.to_string().into()),
         Err(_) => return Outcome::NotSent("no connection in time".into()),
@@ -109,7 +109,7 @@
     }));
     match timeout_at(until, tx.try_send_request(req)).await {
         Err(_) => Outcome::Late,
-        Ok(Ok(resp)) => head(resp, conn, id),
+        Ok(Ok(resp)) => classify(resp, conn, id),
         Ok(Err(mut e)) => match e.take_message() {
             Some(_) => Outcome::NotSent(e.into_error().to_string().into()),
             None => Outcome::Lost(e.into_error().to_string().into()),
@@ -117,7 +117,7 @@
     }
 }
 
-fn head(resp: Response<Incoming>, conn: Conn, id: &str) -> Outcome {
+fn classify(resp: Response<Incoming>, conn: Conn, id: &str) -> Outcome {
     let (head, body) = resp.into_parts();
     let status = head.status.as_u16();
     let instance = answer::instance(&head.headers).map(Into::into);
@@ -133,7 +133,7 @@
             status,
         },
         Said::Stray => Outcome::Lost("not an answer to this request".into()),
-        Said::Answer => Outcome::Head(Live {
+        Said::Answer => Outcome::Head(LiveResponse {
             head,
             body,
             _conn: conn,
@@ -141,7 +141,7 @@
     }
 }
 
-impl Live {
+impl LiveResponse {
     /// Reads the next bytes, `None` at the end of a complete body.
     ///
     /// # Errors
--- a/crates/stair-relay/src/context.rs
+++ b/crates/stair-relay/src/context.rs
@@ -91,12 +91,12 @@
     /// When the process ends, once the stop has begun.
     ends_at: watch::Sender<Option<Instant>>,
     serving: AtomicUsize,
-    live: Mutex<Live>,
+    reloadable: Mutex<ReloadableSettings>,
     state: Mutex<State>,
 }
 
 /// Settings that can change while the process runs.
-struct Live {
+struct ReloadableSettings {
     store: Store,
     address: SocketAddr,
     retries: RetrySettings,
@@ -153,13 +153,13 @@
 impl Context {
     /// Makes the context of an entry that knows nothing yet.
     pub fn new(settings: GatewaySettings) -> Self {
-        let live = Live {
+        let reloadable = ReloadableSettings {
             store: Store::new(settings.store),
             address: settings.store,
             retries: settings.retries,
         };
         Self {
-            live: Mutex::new(live),
+            reloadable: Mutex::new(reloadable),
             settings,
             page: Page::default(),
             changed: Notify::new(),
@@ -174,21 +174,23 @@
 
     /// Takes over what can change while the process runs.
     pub fn reload(&self, new: &GatewaySettings) {
-        let mut live = self.live();
-        live.retries = new.retries;
-        if live.address != new.store {
-            live.store = Store::new(new.store);
-            live.address = new.store;
+        let mut reloadable = self.reloadable();
+        reloadable.retries = new.retries;
+        if reloadable.address != new.store {
+            reloadable.store = Store::new(new.store);
+            reloadable.address = new.store;
         }
     }
 
     /// The client of the store.
     pub fn store(&self) -> Store {
-        self.live().store.clone()
+        self.reloadable().store.clone()
     }
 
-    fn live(&self) -> MutexGuard<'_, Live> {
-        self.live.lock().unwrap_or_else(PoisonError::into_inner)
+    fn reloadable(&self) -> MutexGuard<'_, ReloadableSettings> {
+        self.reloadable
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
     }
 
     /// Time since the start.
--- a/crates/stair-relay/src/context/retries.rs
+++ b/crates/stair-relay/src/context/retries.rs
@@ -51,7 +51,7 @@
     }
 
     fn budget_options(&self, state: &State) -> budget::Options {
-        let retries = self.live().retries;
+        let retries = self.reloadable().retries;
         budget::Options {
             ratio: retries.ratio,
             extra: retries.extra,
@@ -62,7 +62,7 @@
 
     /// The number of entries that share what holds for all of them together.
     pub fn entries(&self) -> u32 {
-        let expected = self.live().retries.entries;
+        let expected = self.reloadable().retries.entries;
         self.state().entries(expected)
     }
 }
--- a/crates/stair-relay/src/follow.rs
+++ b/crates/stair-relay/src/follow.rs
@@ -57,7 +57,7 @@
 };
 
 /// Time to open a connection to the entry that watches.
-const CONNECT_TIME: Duration = Duration::from_millis(500);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// Time without a message after which a watcher is not followed any longer: three heartbeats.
 const SILENCE: Duration = Duration::from_millis(750);
@@ -256,7 +256,7 @@
 
 /// Takes in what a peer tells, until it tells nothing more.
 async fn receive(cx: &Arc<Context>, peer: &Peer) -> Ended {
-    let Ok(Ok(mut stream)) = timeout(CONNECT_TIME, TcpStream::connect(peer.addr)).await else {
+    let Ok(Ok(mut stream)) = timeout(CONNECT_TIMEOUT, TcpStream::connect(peer.addr)).await else {
         return Ended::NotOpened;
     };
     let own = cx.replication_state();
--- a/crates/stair-relay/src/job.rs
+++ b/crates/stair-relay/src/job.rs
@@ -113,7 +113,7 @@
     }
 
     /// Notes whether its next attempt is a trial.
-    pub(crate) fn note_trial(&self, on_trial: bool) {
+    pub(crate) fn set_on_trial(&self, on_trial: bool) {
         self.on_trial.store(on_trial, Ordering::Relaxed);
     }
 
@@ -146,9 +146,9 @@
     }
 
     /// Notes whether it may have run.
-    pub fn note_sent(&self, sent: bool) {
+    pub fn set_may_have_run(&self, may_have_run: bool) {
         if let Some(grant) = &self.grant {
-            grant.note_sent(sent);
+            grant.set_may_have_run(may_have_run);
         }
     }
 
--- a/crates/stair-relay/src/links.rs
+++ b/crates/stair-relay/src/links.rs
@@ -47,7 +47,7 @@
 };
 
 /// Time to open a link.
-const CONNECT_TIME: Duration = Duration::from_millis(500);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// Pause before a link is opened anew.
 const PAUSE: Duration = Duration::from_millis(400);
@@ -149,7 +149,7 @@
 async fn run(cx: Arc<Context>, engine: SocketAddr, mut rx: mpsc::Receiver<ToAgent>) {
     let agent = SocketAddr::new(engine.ip(), cx.settings.agent_port);
     while listed(&cx, engine) {
-        match timeout(CONNECT_TIME, TcpStream::connect(agent)).await {
+        match timeout(CONNECT_TIMEOUT, TcpStream::connect(agent)).await {
             Ok(Ok(stream)) => {
                 Line::new("agent.linked").show("engine", engine).write();
                 begin(&cx, engine);
--- a/crates/stair-relay/src/quota.rs
+++ b/crates/stair-relay/src/quota.rs
@@ -99,19 +99,19 @@
     workspace: Box<str>,
     cost: f64,
     by: CountedBy,
-    sent: AtomicBool,
+    may_have_run: AtomicBool,
 }
 
 impl Grant {
     /// Notes whether the request may have run.
-    pub fn note_sent(&self, sent: bool) {
-        self.sent.store(sent, Ordering::Relaxed);
+    pub fn set_may_have_run(&self, may_have_run: bool) {
+        self.may_have_run.store(may_have_run, Ordering::Relaxed);
     }
 }
 
 impl Drop for Grant {
     fn drop(&mut self) {
-        if self.sent.load(Ordering::Relaxed) {
+        if self.may_have_run.load(Ordering::Relaxed) {
             return;
         }
         let now = self.cx.now();
@@ -186,7 +186,7 @@
         workspace: ask.workspace,
         cost,
         by,
-        sent: AtomicBool::new(false),
+        may_have_run: AtomicBool::new(false),
     };
     // A request that does not wait has nothing to do with what its workspace owes.
     if !ask.passed && !answer.wait.is_zero() {
--- a/crates/stair-relay/src/relay.rs
+++ b/crates/stair-relay/src/relay.rs
@@ -41,7 +41,7 @@
     },
     attempt::{
         self,
-        Live, //
+        LiveResponse, //
     },
     context::Context,
     crash,
@@ -64,13 +64,13 @@
 
 /// A repeatable request is tried at another target after so many objectives: most targets that take longer have
 /// hung.
-const HUNG_AFTER: u32 = 3;
+const HUNG_OBJECTIVES: u32 = 3;
 
 /// Serves one request.
 pub async fn serve(cx: Arc<Context>, req: Request<Incoming>) -> Response<Body> {
     let received = Instant::now();
     let id = Meta::decode(req.headers()).id;
-    let mut waiting = Waiting::begin(&cx, &id, received);
+    let mut pending = PendingResponse::begin(&cx, &id, received);
     let result = match admit(&cx, req, received).await {
         Ok(job) => run(&cx, Arc::new(job)).await,
         Err(refusal) => Err(refusal),
@@ -91,7 +91,7 @@
             refusal.response()
         }
     };
-    waiting.answered = true;
+    pending.responded = true;
     let status = resp.status();
     let labels = [("status", status.as_str())];
     cx.page.count("answers_total", &labels, 1);
@@ -101,27 +101,27 @@
 
 /// A request without an answer yet. The work on it is dropped when its client leaves, so a line from
 /// here is all that tells an engineer why the request's story ends.
-struct Waiting {
+struct PendingResponse {
     cx: Arc<Context>,
     id: Box<str>,
     received: Instant,
-    answered: bool,
+    responded: bool,
 }
 
-impl Waiting {
+impl PendingResponse {
     fn begin(cx: &Arc<Context>, id: &str, received: Instant) -> Self {
         Self {
             cx: cx.clone(),
             id: id.into(),
             received,
-            answered: false,
+            responded: false,
         }
     }
 }
 
-impl Drop for Waiting {
+impl Drop for PendingResponse {
     fn drop(&mut self) {
-        if !self.answered {
+        if !self.responded {
             Line::failure("client.left")
                 .text("id", &self.id)
                 .ms("took_ms", self.received.elapsed())
@@ -132,7 +132,7 @@
 }
 
 /// How the attempts of one request went so far.
-pub struct Tried {
+pub struct Attempts {
     /// Targets that are not to be tried again.
     pub keys: Vec<TargetKey>,
     /// Attempts that may have run.
@@ -147,7 +147,7 @@
     failures: Failures,
 }
 
-impl Tried {
+impl Attempts {
     /// Makes that of a request that has not been sent.
     pub fn new(cx: &Arc<Context>, job: &Job) -> Self {
         Self {
@@ -161,7 +161,7 @@
     }
 
     /// Whether the attempt that is under way may be given up for another target.
-    pub fn may_be_left(&self, job: &Job) -> bool {
+    pub fn may_abandon(&self, job: &Job) -> bool {
         job.route.repeatable() && self.ran + 1 < job.route.attempts
     }
 
@@ -172,38 +172,39 @@
 }
 
 async fn run(cx: &Arc<Context>, job: Arc<Job>) -> Result<Response<Body>, Refusal> {
-    let mut tried = Tried::new(cx, &job);
-    let result = attempts(cx, job, &mut tried).await;
+    let mut attempts = Attempts::new(cx, &job);
+    let result = run_attempts(cx, job, &mut attempts).await;
     // What a target has answered is passed on rather than replaced by a failure of the entry's own,
     // which would tell the client less.
-    match (result, tried.failure.take()) {
+    match (result, attempts.failure.take()) {
         (Err(_), Some(failure)) => Ok(failure),
         (result, _) => result,
     }
 }
 
-async fn attempts(
+async fn run_attempts(
     cx: &Arc<Context>,
     job: Arc<Job>,
-    tried: &mut Tried,
+    attempts: &mut Attempts,
 ) -> Result<Response<Body>, Refusal> {
     loop {
-        let (selected, outcome) = match once(cx, &job, tried, None).await {
+        let (selected, outcome) = match attempt_once(cx, &job, attempts, None).await {
             Ok(both) => both,
-            Err(e) => return Err(give_up(tried, e.reason, e.retry_after)),
+            Err(e) => return Err(refusal(attempts, e.reason, e.retry_after)),
         };
         let retry = match outcome {
-            attempt::Outcome::Head(live) => match answer(cx, &job, selected, live, tried).await {
-                Answered::Done(resp) => return Ok(resp),
-                Answered::Failed(reason) => {
-                    if !tried.may_run_again(&job) {
+            attempt::Outcome::Head(live) => match forward(cx, &job, selected, live, attempts).await
+            {
+                Forwarded::Done(resp) => return Ok(resp),
+                Forwarded::Failed(reason) => {
+                    if !attempts.may_run_again(&job) {
                         return Err(Refusal::may_have_run(reason));
                     }
                     reason
                 }
             },
             attempt::Outcome::NotSent(_) | attempt::Outcome::NotRun { .. } => Reason::Refused,
-            attempt::Outcome::Late | attempt::Outcome::Lost(_) if !tried.may_run_again(&job) => {
+            attempt::Outcome::Late | attempt::Outcome::Lost(_) if !attempts.may_run_again(&job) => {
                 let late = matches!(outcome, attempt::Outcome::Late);
                 let reason = if late { Reason::Late } else { Reason::Lost };
                 return Err(Refusal::may_have_run(reason));
@@ -211,18 +212,18 @@
             attempt::Outcome::Late => Reason::Late,
             attempt::Outcome::Lost(_) => Reason::Lost,
         };
-        if tried.ran > 0 && Instant::now() >= selection_deadline(&job, None) {
-            return Err(give_up(tried, retry, REFUSED_RETRY_AFTER));
+        if attempts.ran > 0 && Instant::now() >= selection_deadline(&job, None) {
+            return Err(refusal(attempts, retry, REFUSED_RETRY_AFTER));
         }
-        let paid = std::mem::take(&mut tried.paid) || tried.sent == 0;
-        if tried.sent >= MAX_SENDS || !(paid || cx.may_retry(&job.service)) {
-            return Err(give_up(tried, retry, REFUSED_RETRY_AFTER));
+        let paid = std::mem::take(&mut attempts.paid) || attempts.sent == 0;
+        if attempts.sent >= MAX_SENDS || !(paid || cx.may_retry(&job.service)) {
+            return Err(refusal(attempts, retry, REFUSED_RETRY_AFTER));
         }
     }
 }
 
-fn give_up(tried: &Tried, reason: Reason, retry_after: Duration) -> Refusal {
-    if tried.ran == 0 {
+fn refusal(attempts: &Attempts, reason: Reason, retry_after: Duration) -> Refusal {
+    if attempts.ran == 0 {
         return Refusal::not_run(reason, Some(retry_after));
     }
     let reason = match reason {
@@ -237,14 +238,14 @@
 /// # Errors
 ///
 /// [`NotAssigned`] if no target can run it in time, or none may.
-pub async fn once(
+pub async fn attempt_once(
     cx: &Arc<Context>,
     job: &Job,
-    tried: &mut Tried,
+    attempts: &mut Attempts,
     after_event: Option<u64>,
 ) -> Result<(Selected, attempt::Outcome), NotAssigned> {
-    let selected = assign(cx, job, &tried.keys, after_event).await?;
-    let outcome = send(cx, job, tried, &selected, after_event).await;
+    let selected = assign(cx, job, &attempts.keys, after_event).await?;
+    let outcome = send(cx, job, attempts, &selected, after_event).await;
     Ok((selected, outcome))
 }
 
@@ -252,28 +253,28 @@
 pub async fn send(
     cx: &Arc<Context>,
     job: &Job,
-    tried: &mut Tried,
+    attempts: &mut Attempts,
     selected: &Selected,
     after_event: Option<u64>,
 ) -> attempt::Outcome {
     let begun = Instant::now();
-    job.note_sent(true);
+    job.set_may_have_run(true);
     let req = job.request(&selected.id, after_event);
-    let until = attempt_until(job, tried);
+    let until = attempt_deadline(job, attempts);
     let sent = attempt::send(selected.addr, req, &job.meta.id, until);
     let (key, leaves) = (
         selected.in_flight.key(),
         selection_deadline(job, after_event),
     );
-    let gone = given_up(cx, &tried.keys, key, tried.may_be_left(job), leaves);
+    let gone = until_abandoned(cx, &attempts.keys, key, attempts.may_abandon(job), leaves);
     let unanswered = crash::Unanswered::new(cx, job, key);
     let outcome = tokio::select! {
         outcome = sent => outcome,
         () = gone => attempt::Outcome::Late,
     };
     unanswered.ended();
-    note(cx, job, tried, selected, &outcome, begun);
-    job.note_sent(tried.ran > 0);
+    record_outcome(cx, job, attempts, selected, &outcome, begun);
+    job.set_may_have_run(attempts.ran > 0);
     outcome
 }
 
@@ -283,7 +284,7 @@
 /// answered that it may have run: a VM that stands still cannot take the client's close.
 ///
 /// `before` were tried before the target `key`; a run at one of them may go on as well.
-pub async fn given_up(
+pub async fn until_abandoned(
     cx: &Context,
     before: &[TargetKey],
     key: TargetKey,
@@ -303,18 +304,18 @@
 }
 
 /// When an attempt is given up for another: a repeatable request is not left to a target that hangs.
-fn attempt_until(job: &Job, tried: &Tried) -> Instant {
-    if !tried.may_be_left(job) || job.route.objective.is_zero() {
+fn attempt_deadline(job: &Job, attempts: &Attempts) -> Instant {
+    if !attempts.may_abandon(job) || job.route.objective.is_zero() {
         return job.deadline;
     }
-    (Instant::now() + job.route.objective * HUNG_AFTER).min(job.deadline)
+    (Instant::now() + job.route.objective * HUNG_OBJECTIVES).min(job.deadline)
 }
 
 /// Takes the outcome of an attempt into what is known of the target.
-fn note(
+fn record_outcome(
     cx: &Arc<Context>,
     job: &Job,
-    tried: &mut Tried,
+    attempts: &mut Attempts,
     selected: &Selected,
     outcome: &attempt::Outcome,
     begun: Instant,
@@ -329,10 +330,10 @@
         Outcome::Head(live) => format!("head: {}", live.head.status.as_u16()),
     };
     if !matches!(outcome, Outcome::NotSent(_)) {
-        tried.sent += 1;
+        attempts.sent += 1;
     }
     if !matches!(outcome, Outcome::Head(_)) {
-        tried.keys.push(key);
+        attempts.keys.push(key);
     }
     let now = cx.now();
     let mut state = cx.state();
@@ -360,13 +361,13 @@
         }
         Outcome::NotRun { .. } => seen.learn(false),
         Outcome::Lost(_) | Outcome::Late => {
-            tried.ran += 1;
+            attempts.ran += 1;
             seen.learn(false);
         }
         Outcome::Head(live) => {
-            tried.ran += 1;
+            attempts.ran += 1;
             if live.head.status.is_server_error() {
-                tried.failures.add(key);
+                attempts.failures.add(key);
             } else {
                 seen.learn(true);
             }
@@ -377,7 +378,7 @@
         crash::note_cut(cx, job, key, None);
     }
     if matches!(outcome, Outcome::Head(live) if !live.head.status.is_server_error()) {
-        tried.failures.served();
+        attempts.failures.served();
     }
     if let Some(engine) = former {
         cx.report_former(engine, selected.id.clone());
@@ -388,7 +389,7 @@
     };
     line.text("id", &job.meta.id)
         .text("target", &selected.id)
-        .num("sent", tried.sent as i64)
+        .num("sent", attempts.sent as i64)
         .text("outcome", &text)
         .ms("took_ms", begun.elapsed())
         .write();
@@ -396,47 +397,47 @@
     cx.page.count("attempts_total", &[("outcome", kind)], 1);
 }
 
-enum Answered {
+enum Forwarded {
     Done(Response<Body>),
     Failed(Reason),
 }
 
 /// Passes a target's answer on.
-async fn answer(
+async fn forward(
     cx: &Arc<Context>,
     job: &Arc<Job>,
     selected: Selected,
-    mut live: Live,
-    tried: &mut Tried,
-) -> Answered {
+    mut live: LiveResponse,
+    attempts: &mut Attempts,
+) -> Forwarded {
     let key = selected.in_flight.key();
     let begun = Instant::now();
     if job.route.stream && live.head.status.is_success() {
-        return match stream::open(cx, job, selected, live, tried).await {
-            Ok(resp) => Answered::Done(resp),
-            Err(reason) => Answered::Failed(reason),
+        return match stream::open(cx, job, selected, live, attempts).await {
+            Ok(resp) => Forwarded::Done(resp),
+            Err(reason) => Forwarded::Failed(reason),
         };
     }
-    let until = attempt_until(job, tried);
+    let until = attempt_deadline(job, attempts);
     let body = match live.collect(until).await {
         Ok(body) => body,
         Err(e) => {
-            tried.keys.push(key);
+            attempts.keys.push(key);
             crash::note_cut(cx, job, key, Some(begun));
             Line::failure("cut")
                 .text("id", &job.meta.id)
                 .text("error", &e)
                 .write();
-            return Answered::Failed(Reason::Lost);
+            return Forwarded::Failed(Reason::Lost);
         }
     };
     let failed = live.head.status.is_server_error();
     let in_time = job.deadline.saturating_duration_since(Instant::now()) > job.route.objective / 2;
-    if failed && in_time && tried.may_run_again(job) && cx.may_retry(&job.service) {
-        tried.keys.push(key);
-        tried.paid = true;
-        tried.failure = Some(response(&live.head, full(body)));
-        return Answered::Failed(Reason::Lost);
+    if failed && in_time && attempts.may_run_again(job) && cx.may_retry(&job.service) {
+        attempts.keys.push(key);
+        attempts.paid = true;
+        attempts.failure = Some(client_response(&live.head, full(body)));
+        return Forwarded::Failed(Reason::Lost);
     }
     quarantine::survived(cx, job);
     Line::new("answered")
@@ -445,11 +446,11 @@
         .num("bytes", body.len() as i64)
         .ms("took_ms", job.received.elapsed())
         .write();
-    Answered::Done(response(&live.head, full(body)))
+    Forwarded::Done(client_response(&live.head, full(body)))
 }
 
 /// Makes the client's answer from the head of a target's.
-pub fn response(head: &hyper::http::response::Parts, body: Body) -> Response<Body> {
+pub fn client_response(head: &hyper::http::response::Parts, body: Body) -> Response<Body> {
     let mut headers = head.headers.clone();
     strip_hop(&mut headers);
     let mut resp = Response::new(body);
--- a/crates/stair-relay/src/stream.rs
+++ b/crates/stair-relay/src/stream.rs
@@ -35,7 +35,7 @@
     assign,
     attempt::{
         self,
-        Live, //
+        LiveResponse, //
     },
     context::{
         Context,
@@ -47,7 +47,7 @@
     refuse::Reason,
     relay::{
         self,
-        Tried, //
+        Attempts, //
     },
     select::Selected,
 };
@@ -58,13 +58,13 @@
 /// A client leaves a stream after a pause that follows from its route; after this part of it another target
 /// is looked for. An engine that is merely busy, or reads a request anew after it ran out of memory, is
 /// heard again before that, and the rest is enough to go on elsewhere.
-const HUNG_PART: u32 = 2;
+const HUNG_DIVISOR: u32 = 2;
 
 /// Time for the first event of a repeatable request for which a target is not taken for hung.
-const HUNG_TIME: Duration = Duration::from_millis(1500);
+const MIN_FIRST_EVENT_TIMEOUT: Duration = Duration::from_millis(1500);
 
 /// So many times that, or the objective where it is longer, until the request is tried elsewhere.
-const HUNG_PAUSES: u32 = 2;
+const FIRST_EVENT_FACTOR: u32 = 2;
 
 enum Next {
     Event(Event),
@@ -76,7 +76,7 @@
 struct Source {
     /// When the head of the answer came.
     begun: Instant,
-    live: Live,
+    live: LiveResponse,
     in_flight: InFlight,
     split: Splitter,
 }
@@ -90,8 +90,8 @@
     cx: &Arc<Context>,
     job: &Arc<Job>,
     selected: Selected,
-    live: Live,
-    tried: &mut Tried,
+    live: LiveResponse,
+    attempts: &mut Attempts,
 ) -> Result<Response<Body>, Reason> {
     let key = selected.in_flight.key();
     let begun = Instant::now();
@@ -102,9 +102,9 @@
         in_flight: selected.in_flight,
         split: Splitter::default(),
     };
-    let until = first_until(job, tried);
+    let until = first_event_deadline(job, attempts);
     let leaves = assign::selection_deadline(job, None);
-    let gone = relay::given_up(cx, &tried.keys, key, tried.may_run_again(job), leaves);
+    let gone = relay::until_abandoned(cx, &attempts.keys, key, attempts.may_run_again(job), leaves);
     let unanswered = crash::Unanswered::new(cx, job, key);
     let next = tokio::select! {
         next = source.next(until) => next,
@@ -115,13 +115,13 @@
         Next::Event(e) => Some(e),
         Next::End => None,
         Next::Broken(e) => {
-            tried.keys.push(key);
+            attempts.keys.push(key);
             crash::note_cut(cx, job, key, Some(begun));
             log_break(job, &selected.id, None, &e);
             return Err(Reason::Lost);
         }
         Next::Late => {
-            tried.keys.push(key);
+            attempts.keys.push(key);
             crash::note_cut(cx, job, key, Some(begun));
             log_break(job, &selected.id, None, "no first event in time");
             return Err(Reason::Late);
@@ -141,24 +141,25 @@
     let pump = Pump {
         cx: cx.clone(),
         job: job.clone(),
-        tried: std::mem::replace(tried, Tried::new(cx, job)),
+        attempts: std::mem::replace(attempts, Attempts::new(cx, job)),
         last: job.meta.last_event,
         passed: 0,
         first: job.received.elapsed(),
         longest_pause: Duration::ZERO,
         passed_at: Instant::now(),
-        left_for_quiet: None,
+        abandoned_as_unresponsive: None,
         tx,
     };
     tokio::spawn(pump.run(source, first));
-    Ok(relay::response(&head, body))
+    Ok(relay::client_response(&head, body))
 }
 
-fn first_until(job: &Job, tried: &Tried) -> Instant {
-    if !tried.may_run_again(job) {
+fn first_event_deadline(job: &Job, attempts: &Attempts) -> Instant {
+    if !attempts.may_run_again(job) {
         return job.deadline;
     }
-    (Instant::now() + job.route.objective.max(HUNG_TIME) * HUNG_PAUSES).min(job.deadline)
+    (Instant::now() + job.route.objective.max(MIN_FIRST_EVENT_TIMEOUT) * FIRST_EVENT_FACTOR)
+        .min(job.deadline)
 }
 
 impl Source {
@@ -187,7 +188,7 @@
 struct Pump {
     cx: Arc<Context>,
     job: Arc<Job>,
-    tried: Tried,
+    attempts: Attempts,
     last: Option<u64>,
     passed: u64,
     /// Time from the request to the first event.
@@ -196,7 +197,7 @@
     passed_at: Instant,
     /// The last target whose VM was found to stand still; another one is looked for at once, and after that
     /// as for any silent target.
-    left_for_quiet: Option<TargetKey>,
+    abandoned_as_unresponsive: Option<TargetKey>,
     tx: mpsc::Sender<Option<Bytes>>,
 }
 
@@ -204,16 +205,16 @@
 enum Received {
     Next(Next),
     /// Silence, and no other target takes the stream.
-    Nothing,
+    Silent,
     /// Silence, and another target takes the stream.
-    Elsewhere(Selected),
+    OtherTarget(Selected),
     ClientGone,
 }
 
 enum Ended {
     Complete,
     ClientGone,
-    Cut(Box<str>),
+    Truncated(Box<str>),
 }
 
 impl Pump {
@@ -222,12 +223,12 @@
         let (line, text) = match &ended {
             Ended::Complete => (Line::new("answered"), "complete"),
             Ended::ClientGone => (Line::new("answered"), "client gone"),
-            Ended::Cut(e) => (Line::failure("answered"), &**e),
+            Ended::Truncated(e) => (Line::failure("answered"), &**e),
         };
         line.text("id", &self.job.meta.id)
             .num("status", 200)
             .num("events", self.passed)
-            .num("targets", i64::from(self.tried.ran))
+            .num("targets", i64::from(self.attempts.ran))
             .ms("first_ms", self.first)
             .ms("pause_ms", self.longest_pause)
             .text("end", text)
@@ -236,7 +237,7 @@
         let kind = match ended {
             Ended::Complete => "complete",
             Ended::ClientGone => "client-gone",
-            Ended::Cut(_) => "cut",
+            Ended::Truncated(_) => "cut",
         };
         self.cx.page.count("streams_total", &[("end", kind)], 1);
         // One sample a stream: a sample an event would cost the entry more than passing it on.
@@ -267,8 +268,8 @@
                 Received::Next(Next::Broken(e)) => (e, None),
                 Received::Next(Next::Late) => ("no event in time".into(), None),
                 // It is left to its target, which may only be busy.
-                Received::Nothing => continue,
-                Received::Elsewhere(target) => ("no event in time".into(), Some(target)),
+                Received::Silent => continue,
+                Received::OtherTarget(target) => ("no event in time".into(), Some(target)),
                 Received::ClientGone => return Ended::ClientGone,
             };
             let key = source.in_flight.key();
@@ -276,10 +277,10 @@
             log_break(&self.job, "", self.last, &why);
             // The engine stops when its connection closes, so that the two runs do not overlap.
             drop(source);
-            self.tried.keys.push(key);
+            self.attempts.keys.push(key);
             source = match self.resume(target).await {
                 Some(source) => source,
-                None => return Ended::Cut(why),
+                None => return Ended::Truncated(why),
             };
         }
     }
@@ -287,14 +288,14 @@
     /// Waits for the target; after a long silence also for another one that would take the stream.
     async fn receive(&mut self, source: &mut Source) -> Received {
         let (cx, job, tx) = (self.cx.clone(), self.job.clone(), self.tx.clone());
-        let until = self.pause_until();
+        let until = self.pause_deadline();
         let key = source.in_flight.key();
-        let may_leave = until < job.deadline && self.left_for_quiet != Some(key);
+        let may_leave = until < job.deadline && self.abandoned_as_unresponsive != Some(key);
         let own = [key];
         let next = tokio::select! {
             next = source.next(until) => next,
             () = cx.fall_quiet(&own), if may_leave => {
-                self.left_for_quiet = Some(key);
+                self.abandoned_as_unresponsive = Some(key);
                 Next::Late
             }
             () = tx.closed() => return Received::ClientGone,
@@ -302,12 +303,12 @@
         if !matches!(next, Next::Late) || Instant::now() >= job.deadline {
             return Received::Next(next);
         }
-        let mut excluded = self.tried.keys.clone();
+        let mut excluded = self.attempts.keys.clone();
         excluded.push(key);
         tokio::select! {
             next = source.next(job.deadline) => Received::Next(next),
             target = assign_elsewhere(&cx, &job, &excluded, self.last) => {
-                target.map_or(Received::Nothing, Received::Elsewhere)
+                target.map_or(Received::Silent, Received::OtherTarget)
             }
             () = tx.closed() => Received::ClientGone,
         }
@@ -318,7 +319,7 @@
         match (event.id, self.last) {
             (Some(id), Some(last)) if id <= last => return None,
             (Some(id), Some(last)) if id > last + 1 => {
-                return Some(Ended::Cut("an event is missing".into()));
+                return Some(Ended::Truncated("an event is missing".into()));
             }
             _ => {}
         }
@@ -331,16 +332,16 @@
         match timeout_at(self.job.deadline, self.tx.send(Some(event.bytes))).await {
             Ok(Ok(())) => None,
             Ok(Err(_)) => Some(Ended::ClientGone),
-            Err(_) => Some(Ended::Cut("the client reads too slowly".into())),
+            Err(_) => Some(Ended::Truncated("the client reads too slowly".into())),
         }
     }
 
-    fn pause_until(&self) -> Instant {
+    fn pause_deadline(&self) -> Instant {
         let resumable = self.job.route.repeat == Repeat::FromEvent;
-        if !resumable || !self.tried.may_run_again(&self.job) {
+        if !resumable || !self.attempts.may_run_again(&self.job) {
             return self.job.deadline;
         }
-        let pause = self.job.route.client_waits() / HUNG_PART;
+        let pause = self.job.route.client_waits() / HUNG_DIVISOR;
         (Instant::now() + pause).min(self.job.deadline)
     }
 
@@ -348,9 +349,11 @@
     async fn send(&mut self, target: Option<Selected>) -> Option<(Selected, attempt::Outcome)> {
         let (cx, job) = (&self.cx, &self.job);
         let Some(selected) = target else {
-            return relay::once(cx, job, &mut self.tried, self.last).await.ok();
+            return relay::attempt_once(cx, job, &mut self.attempts, self.last)
+                .await
+                .ok();
         };
-        let outcome = relay::send(cx, job, &mut self.tried, &selected, self.last).await;
+        let outcome = relay::send(cx, job, &mut self.attempts, &selected, self.last).await;
         Some((selected, outcome))
     }
 
@@ -360,7 +363,7 @@
         let resumable = self.job.route.repeat == Repeat::FromEvent;
         while resumable
             && self.last.is_some()
-            && self.tried.may_run_again(&self.job)
+            && self.attempts.may_run_again(&self.job)
             && Instant::now() < self.job.deadline
             && (target.is_some() || self.cx.may_retry(&self.job.service))
         {
@@ -384,7 +387,7 @@
                         split: Splitter::default(),
                     });
                 }
-                attempt::Outcome::Head(_) => self.tried.keys.push(selected.in_flight.key()),
+                attempt::Outcome::Head(_) => self.attempts.keys.push(selected.in_flight.key()),
                 _ => {}
             }
         }
