--- a/crates/stair-relay/src/context.rs
+++ b/crates/stair-relay/src/context.rs
@@ -84,7 +84,7 @@
     /// Notified at each change of the state.
     pub changed: Notify,
     /// Told when a target's VM is found to stand still.
-    pub quiet: Notify,
+    pub unresponsive: Notify,
     /// Who watches the store: this entry, or one that it follows.
     pub follow: Follow,
     started: Instant,
@@ -163,7 +163,7 @@
             settings,
             page: Page::default(),
             changed: Notify::new(),
-            quiet: Notify::new(),
+            unresponsive: Notify::new(),
             follow: Follow::default(),
             started: Instant::now(),
             ends_at: watch::Sender::new(None),
@@ -253,18 +253,18 @@
     }
 
     /// Takes in that an agent has not answered a question in time. Whether its VM is taken to stand still.
-    pub fn unanswered(&self, key: TargetKey) -> bool {
+    pub fn record_unanswered(&self, key: TargetKey) -> bool {
         let now = self.now();
-        let (falls, quiet, id) = {
+        let (newly_unresponsive, unresponsive, id) = {
             let mut state = self.state();
             let seen = state.view.get_mut(key);
-            let falls = seen.mark_quiet(OVERDUE_TIME, now);
-            (falls, seen.quiet, seen.target.id.clone())
+            let newly_unresponsive = seen.mark_quiet(OVERDUE_TIME, now);
+            (newly_unresponsive, seen.quiet, seen.target.id.clone())
         };
-        if falls {
-            self.are_quiet(&[id]);
+        if newly_unresponsive {
+            self.report_unresponsive(&[id]);
         }
-        quiet
+        unresponsive
     }
 
     /// Whether a target takes requests by its own word.
@@ -274,19 +274,19 @@
     }
 
     /// Tells of targets whose VMs were found to stand still.
-    pub fn are_quiet(&self, ids: &[Box<str>]) {
+    pub fn report_unresponsive(&self, ids: &[Box<str>]) {
         for id in ids {
             Line::failure("target.quiet").text("target", id).write();
         }
         if !ids.is_empty() {
-            self.quiet.notify_waiters();
+            self.unresponsive.notify_waiters();
         }
     }
 
     /// Waits until the VM of one of these targets is found to stand still.
-    pub async fn fall_quiet(&self, keys: &[TargetKey]) {
+    pub async fn until_unresponsive(&self, keys: &[TargetKey]) {
         loop {
-            let notified = self.quiet.notified();
+            let notified = self.unresponsive.notified();
             if keys.iter().any(|k| self.state().view.get(*k).quiet) {
                 return;
             }
--- a/crates/stair-relay/src/links.rs
+++ b/crates/stair-relay/src/links.rs
@@ -71,7 +71,7 @@
 const CHECK_INTERVAL: Duration = Duration::from_millis(200);
 
 /// A look that comes so late shows that this process has stood still itself.
-const LATE_LOOK: Duration = Duration::from_millis(600);
+const LATE_CHECK: Duration = Duration::from_millis(600);
 
 /// Messages waiting for one agent.
 const QUEUE: usize = 64;
@@ -108,22 +108,22 @@
 ///
 /// A target on such a VM takes connections and answers nothing. Its requests would wait until their clients
 /// leave, and new ones would join them for as long as the list has it: three heartbeats.
-pub async fn look_for_quiet(cx: Arc<Context>) {
-    let mut looked = Instant::now();
+pub async fn detect_unresponsive(cx: Arc<Context>) {
+    let mut checked_at = Instant::now();
     let mut trusted_from = Instant::now();
     loop {
         sleep(CHECK_INTERVAL).await;
-        let late = looked.elapsed() >= LATE_LOOK;
-        looked = Instant::now();
+        let late = checked_at.elapsed() >= LATE_CHECK;
+        checked_at = Instant::now();
         if late {
             // What agents said meanwhile is still to be read.
-            trusted_from = looked + QUIET_TIME;
+            trusted_from = checked_at + QUIET_TIME;
         }
-        if looked < trusted_from {
+        if checked_at < trusted_from {
             continue;
         }
-        let quiet = cx.state().view.mark_quiet(cx.now());
-        cx.are_quiet(&quiet);
+        let unresponsive = cx.state().view.mark_quiet(cx.now());
+        cx.report_unresponsive(&unresponsive);
     }
 }
 
--- a/crates/stair-relay/src/prefill.rs
+++ b/crates/stair-relay/src/prefill.rs
@@ -95,7 +95,7 @@
         return Reservation::Now(Prompt::default());
     };
     let Ok(Ok(answer)) = timeout(RESERVE_TIME, rx).await else {
-        if cx.unanswered(key) {
+        if cx.record_unanswered(key) {
             return Reservation::Later;
         }
         // A sound engine is used also when its agent is silent.
--- a/crates/stair-relay/src/process.rs
+++ b/crates/stair-relay/src/process.rs
@@ -90,7 +90,7 @@
         tasks.spawn(replicate::follow_targets(cx.clone()));
         tasks.spawn(follow_settings(cx.clone(), reloads));
         tasks.spawn(links::keep(cx.clone()));
-        tasks.spawn(links::look_for_quiet(cx.clone()));
+        tasks.spawn(links::detect_unresponsive(cx.clone()));
         tasks.spawn(peers::serve(cx.clone(), self.inner));
         tasks.spawn(peers::follow(cx.clone()));
         tasks.spawn(follow::keep(cx.clone()));
--- a/crates/stair-relay/src/relay.rs
+++ b/crates/stair-relay/src/relay.rs
@@ -295,10 +295,10 @@
     let all = [before, &own].concat();
     let noted = async {
         sleep_until(client_leaves).await;
-        cx.fall_quiet(&all).await;
+        cx.until_unresponsive(&all).await;
     };
     tokio::select! {
-        () = cx.fall_quiet(&own), if elsewhere => {}
+        () = cx.until_unresponsive(&own), if elsewhere => {}
         () = noted => {}
     }
 }
--- a/crates/stair-relay/src/stream.rs
+++ b/crates/stair-relay/src/stream.rs
@@ -294,7 +294,7 @@
         let own = [key];
         let next = tokio::select! {
             next = source.next(until) => next,
-            () = cx.fall_quiet(&own), if may_leave => {
+            () = cx.until_unresponsive(&own), if may_leave => {
                 self.abandoned_as_unresponsive = Some(key);
                 Next::Late
             }
