--- a/crates/stair-relay/src/context.rs
+++ b/crates/stair-relay/src/context.rs
@@ -141,7 +141,7 @@
     /// Entries that the agent hears, as it said last; 0 before it has.
     pub entries: u32,
     /// The last life that the engine has said it is not.
-    pub former: Option<Box<str>>,
+    pub stale_incarnation: Option<Box<str>>,
     /// How long prompts took to be read, that the agent has not been told.
     pub read: Vec<Read>,
     /// Questions that wait for their answer.
@@ -337,8 +337,12 @@
     }
 
     /// Takes from the list what engines have said they are not: the store may list it for some time.
-    pub fn drop_former(&mut self) {
-        for id in self.agents.iter().filter_map(|a| a.former.as_ref()) {
+    pub fn drop_stale_incarnations(&mut self) {
+        for id in self
+            .agents
+            .iter()
+            .filter_map(|a| a.stale_incarnation.as_ref())
+        {
             self.view.remove(id);
         }
     }
--- a/crates/stair-relay/src/context/agents.rs
+++ b/crates/stair-relay/src/context/agents.rs
@@ -28,7 +28,7 @@
 
 impl Context {
     /// Tells the agent at an address that its engine has said it is not this life.
-    pub fn report_former(&self, engine: SocketAddr, id: Box<str>) {
+    pub fn report_stale_incarnation(&self, engine: SocketAddr, id: Box<str>) {
         let state = self.state();
         if let Some(i) = state.agent(engine) {
             // An agent that does not read finds out by its own orders.
--- a/crates/stair-relay/src/crash.rs
+++ b/crates/stair-relay/src/crash.rs
@@ -17,7 +17,7 @@
         Run, //
     },
     seen::Seen,
-    target::State as TargetState,
+    target::State as AnnouncedState,
     view::TargetKey, //
 };
 use stair_telemetry::event::Line;
@@ -38,31 +38,31 @@
 };
 
 /// When the target's address is tried after a cut; the second time is for one that closes its connections first.
-const PROBE_AT: [Duration; 2] = [Duration::from_millis(20), Duration::from_millis(250)];
+const PROBE_DELAYS: [Duration; 2] = [Duration::from_millis(20), Duration::from_millis(250)];
 
 /// Time for the address to refuse a connection.
-const PROBE_TIME: Duration = Duration::from_millis(300);
+const PROBE_TIMEOUT: Duration = Duration::from_millis(300);
 
 /// Pause between looks at the list.
 const CHECK_INTERVAL: Duration = Duration::from_millis(200);
 
 /// Time after a cut in which its target may be found to have ended: three heartbeats, and the store's word of it.
-const WATCH_TIME: Duration = Duration::from_secs(6);
+const WATCH_WINDOW: Duration = Duration::from_secs(6);
 
 /// The same after a client has left: its request hardly ends a target that has stood that long.
-const LEFT_TIME: Duration = Duration::from_millis(1500);
+const CLIENT_LEFT_WINDOW: Duration = Duration::from_millis(1500);
 
 /// Cut requests that are kept of one target; it runs no more at once.
 const MAX_RUNS: usize = 512;
 
 /// One life of a target.
 #[derive(Debug, Clone, PartialEq, Eq)]
-struct Life {
+struct Incarnation {
     id: Box<str>,
     started: Option<u64>,
 }
 
-impl Life {
+impl Incarnation {
     fn of(seen: &Seen) -> Self {
         Self {
             id: seen.target.id.clone(),
@@ -74,11 +74,11 @@
 /// Requests that were cut lately, by target.
 #[derive(Default)]
 pub(crate) struct Crashes {
-    cuts: Vec<Cuts>,
+    interrupted: Vec<InterruptedRuns>,
 }
 
-struct Cuts {
-    life: Life,
+struct InterruptedRuns {
+    incarnation: Incarnation,
     runs: Vec<Run>,
     /// Whether the target is known to have ended.
     ended: bool,
@@ -90,76 +90,86 @@
 
 impl Crashes {
     /// Adds a request, and tells whether its target has to be watched for it.
-    fn add(&mut self, life: &Life, run: Run, how: How) -> bool {
-        let found = self.cuts.iter().position(|c| c.life == *life);
+    fn add(&mut self, incarnation: &Incarnation, run: Run, ending: Ending) -> bool {
+        let found = self
+            .interrupted
+            .iter()
+            .position(|c| c.incarnation == *incarnation);
         let i = found.unwrap_or_else(|| {
-            self.cuts.push(Cuts {
-                life: life.clone(),
+            self.interrupted.push(InterruptedRuns {
+                incarnation: incarnation.clone(),
                 runs: Vec::new(),
                 ended: false,
                 probed: false,
                 until: Instant::now(),
             });
-            self.cuts.len() - 1
+            self.interrupted.len() - 1
         });
-        let cuts = &mut self.cuts[i];
-        if cuts.runs.len() < MAX_RUNS {
-            cuts.runs.push(run);
+        let interrupted = &mut self.interrupted[i];
+        if interrupted.runs.len() < MAX_RUNS {
+            interrupted.runs.push(run);
         }
-        cuts.until = cuts.until.max(Instant::now() + how.watch_time());
-        let first = match how {
-            How::Cut => !std::mem::replace(&mut cuts.probed, true),
-            How::Left => found.is_none(),
+        interrupted.until = interrupted
+            .until
+            .max(Instant::now() + ending.watch_window());
+        let first = match ending {
+            Ending::Interrupted => !std::mem::replace(&mut interrupted.probed, true),
+            Ending::ClientLeft => found.is_none(),
         };
-        first && !cuts.ended
+        first && !interrupted.ended
     }
 
     /// Takes what was cut at a target that has ended, from now on too.
-    fn take_ended(&mut self, life: &Life) -> Vec<Run> {
-        let cuts = self.cuts.iter_mut().find(|c| c.life == *life);
-        cuts.map_or_else(Vec::new, |c| {
+    fn take_ended(&mut self, incarnation: &Incarnation) -> Vec<Run> {
+        let interrupted = self
+            .interrupted
+            .iter_mut()
+            .find(|c| c.incarnation == *incarnation);
+        interrupted.map_or_else(Vec::new, |c| {
             c.ended = true;
             std::mem::take(&mut c.runs)
         })
     }
 
-    fn has_ended(&self, life: &Life) -> bool {
-        self.cuts.iter().any(|c| c.life == *life && c.ended)
+    fn has_ended(&self, incarnation: &Incarnation) -> bool {
+        self.interrupted
+            .iter()
+            .any(|c| c.incarnation == *incarnation && c.ended)
     }
 
-    fn forget_old(&mut self) {
+    fn remove_expired(&mut self) {
         let now = Instant::now();
-        self.cuts.retain(|c| now < c.until);
+        self.interrupted.retain(|c| now < c.until);
     }
 }
 
-/// How a request has ended that may have ended its target.
+/// Ending a request has ended that may have ended its target.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum How {
+enum Ending {
     /// Its connection was cut, or its answer was late.
-    Cut,
+    Interrupted,
     /// Its client has left.
-    Left,
+    ClientLeft,
 }
 
-impl How {
-    fn watch_time(self) -> Duration {
+impl Ending {
+    fn watch_window(self) -> Duration {
         match self {
-            Self::Cut => WATCH_TIME,
-            Self::Left => LEFT_TIME,
+            Self::Interrupted => WATCH_WINDOW,
+            Self::ClientLeft => CLIENT_LEFT_WINDOW,
         }
     }
 }
 
 /// A request at a target that has not answered yet. Dropped before that, its client has left.
-pub(crate) struct Unanswered<'a> {
+pub(crate) struct UnansweredRun<'a> {
     cx: &'a Arc<Context>,
     job: &'a Job,
     key: TargetKey,
     answered: bool,
 }
 
-impl<'a> Unanswered<'a> {
+impl<'a> UnansweredRun<'a> {
     pub(crate) fn new(cx: &'a Arc<Context>, job: &'a Job, key: TargetKey) -> Self {
         Self {
             cx,
@@ -170,80 +180,85 @@
     }
 
     /// Notes that the target has answered, or will not.
-    pub(crate) fn ended(mut self) {
+    pub(crate) fn finish(mut self) {
         self.answered = true;
     }
 }
 
-impl Drop for Unanswered<'_> {
+impl Drop for UnansweredRun<'_> {
     fn drop(&mut self) {
         if !self.answered {
-            note(self.cx, self.job, self.key, None, How::Left);
+            record(self.cx, self.job, self.key, None, Ending::ClientLeft);
         }
     }
 }
 
 /// Notes that a request was cut, or got no answer in time, at a target that may have ended.
 /// Its answer began at `begun`, if it did.
-pub(crate) fn note_cut(cx: &Arc<Context>, job: &Job, key: TargetKey, begun: Option<Instant>) {
-    note(cx, job, key, begun, How::Cut);
+pub(crate) fn record_interrupted(
+    cx: &Arc<Context>,
+    job: &Job,
+    key: TargetKey,
+    begun: Option<Instant>,
+) {
+    record(cx, job, key, begun, Ending::Interrupted);
 }
 
-fn note(cx: &Arc<Context>, job: &Job, key: TargetKey, begun: Option<Instant>, how: How) {
+fn record(cx: &Arc<Context>, job: &Job, key: TargetKey, begun: Option<Instant>, ending: Ending) {
     let run = Run {
         fingerprint: job.fingerprint(),
         established: begun.is_some_and(|t| t.elapsed() >= ESTABLISHED_TIME),
         on_trial: job.is_on_trial(),
     };
-    let (life, addr, first, ended) = {
+    let (incarnation, addr, first, ended) = {
         let mut state = cx.state();
         let seen = state.view.get(key);
         // What a target cuts that leaves is not put down to its requests.
-        if seen.target.state != TargetState::Ready {
+        if seen.target.state != AnnouncedState::Ready {
             return;
         }
-        let (life, addr) = (Life::of(seen), seen.target.addr);
-        let first = state.crashes.add(&life, run, how);
-        let ended = state.crashes.has_ended(&life);
-        (life, addr, first, ended)
+        let (incarnation, addr) = (Incarnation::of(seen), seen.target.addr);
+        let first = state.crashes.add(&incarnation, run, ending);
+        let ended = state.crashes.has_ended(&incarnation);
+        (incarnation, addr, first, ended)
     };
-    let event = match how {
-        How::Cut => "run.cut",
-        How::Left => "run.left",
+    let event = match ending {
+        Ending::Interrupted => "run.cut",
+        Ending::ClientLeft => "run.left",
     };
     Line::failure(event)
         .text("id", &job.meta.id)
-        .text("target", &life.id)
+        .text("target", &incarnation.id)
         .show("fingerprint", run.fingerprint)
         .flag("established", run.established)
         .flag("on_trial", run.on_trial)
         .write();
     if ended {
-        report(cx, &life, addr);
+        report(cx, &incarnation, addr);
     } else if first {
-        tokio::spawn(watch(cx.clone(), life, addr, how));
+        tokio::spawn(watch(cx.clone(), incarnation, addr, ending));
     }
 }
 
 /// Watches a target that a request may have ended.
-async fn watch(cx: Arc<Context>, life: Life, addr: SocketAddr, how: How) {
+async fn watch(cx: Arc<Context>, incarnation: Incarnation, addr: SocketAddr, ending: Ending) {
     let begun = Instant::now();
-    let until = begun + how.watch_time();
-    let refused = how == How::Cut && is_refused(addr, begun).await;
-    if refused || is_lost(&cx, &life, until).await {
-        report(&cx, &life, addr);
+    let until = begun + ending.watch_window();
+    let refused = ending == Ending::Interrupted && is_refused(addr, begun).await;
+    if refused || is_lost(&cx, &incarnation, until).await {
+        report(&cx, &incarnation, addr);
     }
     // Requests that come later are still reported.
     sleep_until(until).await;
-    cx.state().crashes.forget_old();
+    cx.state().crashes.remove_expired();
 }
 
 /// Whether the target's address refuses connections.
 async fn is_refused(addr: SocketAddr, begun: Instant) -> bool {
-    for at in PROBE_AT {
+    for at in PROBE_DELAYS {
         sleep_until(begun + at).await;
         let refused = |e: &std::io::Error| e.kind() == std::io::ErrorKind::ConnectionRefused;
-        if let Ok(Err(e)) = timeout(PROBE_TIME, TcpStream::connect(addr)).await
+        if let Ok(Err(e)) = timeout(PROBE_TIMEOUT, TcpStream::connect(addr)).await
             && refused(&e)
         {
             return true;
@@ -254,21 +269,24 @@
 
 /// Waits until the list lacks the target or its agent finds it dead. Returns false when it says that it leaves, or
 /// stays until then.
-async fn is_lost(cx: &Context, life: &Life, until: Instant) -> bool {
+async fn is_lost(cx: &Context, incarnation: &Incarnation, until: Instant) -> bool {
     while Instant::now() < until {
         {
             let now = cx.now();
             let state = cx.state();
-            let found = state.view.all().find(|(_, s)| Life::of(s) == *life);
+            let found = state
+                .view
+                .all()
+                .find(|(_, s)| Incarnation::of(s) == *incarnation);
             let Some((_, seen)) = found else {
                 return true;
             };
             match seen.target.state {
-                TargetState::Draining(_) => return false,
-                TargetState::Ready if seen.fresh(now).is_some_and(|r| !r.load.alive) => {
+                AnnouncedState::Draining(_) => return false,
+                AnnouncedState::Ready if seen.fresh(now).is_some_and(|r| !r.load.alive) => {
                     return true;
                 }
-                TargetState::Ready => {}
+                AnnouncedState::Ready => {}
             }
         }
         sleep(CHECK_INTERVAL).await;
@@ -277,20 +295,26 @@
 }
 
 /// Tells which requests were on a target that has ended.
-fn report(cx: &Arc<Context>, life: &Life, addr: SocketAddr) {
-    let runs = cx.state().crashes.take_ended(life);
+fn report(cx: &Arc<Context>, incarnation: &Incarnation, addr: SocketAddr) {
+    let runs = cx.state().crashes.take_ended(incarnation);
     let names: Vec<String> = runs.iter().map(|r| r.fingerprint.to_string()).collect();
     Line::failure("target.crashed")
-        .text("target", &life.id)
+        .text("target", &incarnation.id)
         .show("addr", addr)
         .num("runs", runs.len() as i64)
         .text("fingerprints", &names.join(" "))
         .write();
     cx.page.count("target_crashes_total", &[], 1);
     cx.page.count("crashed_runs_total", &[], runs.len() as u64);
-    let life = match life.started {
-        Some(started) => format!("{}@{started}", life.id).into(),
-        None => life.id.clone(),
+    let incarnation = match incarnation.started {
+        Some(started) => format!("{}@{started}", incarnation.id).into(),
+        None => incarnation.id.clone(),
     };
-    quarantine::report(cx, Crash { life, runs });
+    quarantine::report(
+        cx,
+        Crash {
+            life: incarnation,
+            runs,
+        },
+    );
 }
--- a/crates/stair-relay/src/links.rs
+++ b/crates/stair-relay/src/links.rs
@@ -17,7 +17,7 @@
         ToEntry, //
     },
     seen::QUIET_TIME,
-    target::State as TargetState,
+    target::State as AnnouncedState,
 };
 use stair_telemetry::event::Line;
 use stair_wire::frame;
@@ -89,7 +89,7 @@
                 skipped_until: Duration::ZERO,
                 tx,
                 entries: 0,
-                former: None,
+                stale_incarnation: None,
                 read: Vec::new(),
                 waiting: Vec::new(),
                 reservations: Vec::new(),
@@ -278,7 +278,7 @@
                 asked.map(|tx| tx.send(answer));
             }
             ToEntry::Allowed { seq, answer } => quota::receive_reply(cx, engine, seq, answer),
-            ToEntry::Former(id) => receive_former(cx, engine, id),
+            ToEntry::Former(id) => receive_stale_incarnation(cx, engine, id),
             ToEntry::Declare => declare(cx, engine),
             ToEntry::Quarantine(msg) => quarantine::receive(cx, engine, msg),
             ToEntry::Peers(peers) => {
@@ -310,7 +310,7 @@
     }
 }
 
-fn receive_former(cx: &Context, engine: SocketAddr, id: Box<str>) {
+fn receive_stale_incarnation(cx: &Context, engine: SocketAddr, id: Box<str>) {
     Line::new("target.former")
         .text("target", &id)
         .show("engine", engine)
@@ -318,7 +318,7 @@
     let mut state = cx.state();
     state.view.remove(&id);
     if let Some(i) = state.agent(engine) {
-        state.agents[i].former = Some(id);
+        state.agents[i].stale_incarnation = Some(id);
     }
 }
 
@@ -327,7 +327,7 @@
 struct Sent {
     known: Option<ReplicationState>,
     /// The target's id and the start of its life.
-    life: Option<(Box<str>, Option<u64>)>,
+    incarnation: Option<(Box<str>, Option<u64>)>,
     spoke: Option<Instant>,
 }
 
@@ -383,14 +383,14 @@
     let target = state
         .view
         .at(engine)
-        .filter(|(_, s)| s.target.state == TargetState::Ready)
+        .filter(|(_, s)| s.target.state == AnnouncedState::Ready)
         .map(|(_, s)| (s.target.id.clone(), s.target.started));
     if let Some((id, started)) = target {
-        let life = Some((id.clone(), started));
-        if sent.life != life {
+        let incarnation = Some((id.clone(), started));
+        if sent.incarnation != incarnation {
             let revision = state.view.revision;
             out.push(ToAgent::Instance { id, revision });
-            sent.life = life;
+            sent.incarnation = incarnation;
         }
     }
     let used = state.take_used(engine, false);
--- a/crates/stair-relay/src/relay.rs
+++ b/crates/stair-relay/src/relay.rs
@@ -267,12 +267,12 @@
         selection_deadline(job, after_event),
     );
     let gone = until_abandoned(cx, &attempts.keys, key, attempts.may_abandon(job), leaves);
-    let unanswered = crash::Unanswered::new(cx, job, key);
+    let unanswered = crash::UnansweredRun::new(cx, job, key);
     let outcome = tokio::select! {
         outcome = sent => outcome,
         () = gone => attempt::Outcome::Late,
     };
-    unanswered.ended();
+    unanswered.finish();
     record_outcome(cx, job, attempts, selected, &outcome, begun);
     job.set_may_have_run(attempts.ran > 0);
     outcome
@@ -338,7 +338,7 @@
     let now = cx.now();
     let mut state = cx.state();
     let seen = state.view.get_mut(key);
-    let mut former = None;
+    let mut stale_engine = None;
     match outcome {
         Outcome::NotSent(_) => {
             seen.suspect_until = now + SUSPECT_TIME;
@@ -353,7 +353,7 @@
                 // The target that was meant is gone, whatever the list still says.
                 _ if other => {
                     seen.leave();
-                    former = Some(seen.target.addr);
+                    stale_engine = Some(seen.target.addr);
                 }
                 Some(model) => seen.lacks(model),
                 None => seen.learn(false),
@@ -375,13 +375,13 @@
     }
     drop(state);
     if matches!(outcome, Outcome::Lost(_) | Outcome::Late) {
-        crash::note_cut(cx, job, key, None);
+        crash::record_interrupted(cx, job, key, None);
     }
     if matches!(outcome, Outcome::Head(live) if !live.head.status.is_server_error()) {
         attempts.failures.served();
     }
-    if let Some(engine) = former {
-        cx.report_former(engine, selected.id.clone());
+    if let Some(engine) = stale_engine {
+        cx.report_stale_incarnation(engine, selected.id.clone());
     }
     let line = match outcome {
         Outcome::Head(live) if live.head.status.is_success() => Line::new("attempt"),
@@ -423,7 +423,7 @@
         Ok(body) => body,
         Err(e) => {
             attempts.keys.push(key);
-            crash::note_cut(cx, job, key, Some(begun));
+            crash::record_interrupted(cx, job, key, Some(begun));
             Line::failure("cut")
                 .text("id", &job.meta.id)
                 .text("error", &e)
--- a/crates/stair-relay/src/replicate.rs
+++ b/crates/stair-relay/src/replicate.rs
@@ -224,7 +224,7 @@
         }
         state.view.expire(now);
         state.view.replace(targets, revision, now + grace, now);
-        state.drop_former();
+        state.drop_stale_incarnations();
     }
     log_list(cx, revision, count, "store");
 }
@@ -238,7 +238,7 @@
             return;
         }
         state.view.replace_by_peers(listed, revision, cx.now());
-        state.drop_former();
+        state.drop_stale_incarnations();
     }
     log_list(cx, revision, count, peer);
 }
--- a/crates/stair-relay/src/stream.rs
+++ b/crates/stair-relay/src/stream.rs
@@ -105,24 +105,24 @@
     let until = first_event_deadline(job, attempts);
     let leaves = assign::selection_deadline(job, None);
     let gone = relay::until_abandoned(cx, &attempts.keys, key, attempts.may_run_again(job), leaves);
-    let unanswered = crash::Unanswered::new(cx, job, key);
+    let unanswered = crash::UnansweredRun::new(cx, job, key);
     let next = tokio::select! {
         next = source.next(until) => next,
         () = gone => Next::Late,
     };
-    unanswered.ended();
+    unanswered.finish();
     let first = match next {
         Next::Event(e) => Some(e),
         Next::End => None,
         Next::Broken(e) => {
             attempts.keys.push(key);
-            crash::note_cut(cx, job, key, Some(begun));
+            crash::record_interrupted(cx, job, key, Some(begun));
             log_break(job, &selected.id, None, &e);
             return Err(Reason::Lost);
         }
         Next::Late => {
             attempts.keys.push(key);
-            crash::note_cut(cx, job, key, Some(begun));
+            crash::record_interrupted(cx, job, key, Some(begun));
             log_break(job, &selected.id, None, "no first event in time");
             return Err(Reason::Late);
         }
@@ -273,7 +273,7 @@
                 Received::ClientGone => return Ended::ClientGone,
             };
             let key = source.in_flight.key();
-            crash::note_cut(&self.cx, &self.job, key, Some(source.begun));
+            crash::record_interrupted(&self.cx, &self.job, key, Some(source.begun));
             log_break(&self.job, "", self.last, &why);
             // The engine stops when its connection closes, so that the two runs do not overlap.
             drop(source);
