--- a/crates/stair-relay/src/assign.rs
+++ b/crates/stair-relay/src/assign.rs
@@ -96,7 +96,7 @@
     until: Instant,
 ) -> Result<Selected, NotAssigned> {
     loop {
-        if let Some(left) = quarantine::held(cx, job) {
+        if let Some(left) = quarantine::quarantined_for(cx, job) {
             return Err(NotAssigned::quarantined(left));
         }
         let selected = select::select(cx, job, excluded, since, until).await;
--- a/crates/stair-relay/src/context.rs
+++ b/crates/stair-relay/src/context.rs
@@ -73,7 +73,7 @@
     Serving, //
 };
 pub use pending_load::PendingLoad;
-use usage::UseAt;
+use usage::EngineUsage;
 
 /// One entry.
 pub struct Context {
@@ -122,7 +122,7 @@
     /// Requests that end targets.
     pub(crate) quarantine: Quarantine,
     budgets: Vec<(Box<str>, Budget)>,
-    use_of: Vec<UseAt>,
+    usage: Vec<EngineUsage>,
     next_seq: u64,
 }
 
@@ -145,9 +145,9 @@
     /// How long prompts took to be read, that the agent has not been told.
     pub read: Vec<Read>,
     /// Questions that wait for their answer.
-    pub waiting: Vec<(u64, oneshot::Sender<Outcome>)>,
+    pub pending_loads: Vec<(u64, oneshot::Sender<Outcome>)>,
     /// Prompts that wait to be told their slot.
-    pub reservations: Vec<(u64, oneshot::Sender<Answer>)>,
+    pub pending_slots: Vec<(u64, oneshot::Sender<Answer>)>,
 }
 
 impl Context {
--- a/crates/stair-relay/src/context/agents.rs
+++ b/crates/stair-relay/src/context/agents.rs
@@ -49,13 +49,13 @@
         let seq = req.seq;
         link.tx.try_send(ToAgent::LoadRequest(req)).ok()?;
         let (tx, rx) = oneshot::channel();
-        link.waiting.push((seq, tx));
+        link.pending_loads.push((seq, tx));
         Some(PendingLoad {
             cx: self.clone(),
             engine,
             seq,
             rx,
-            open: true,
+            cancel_on_drop: true,
         })
     }
 
@@ -63,14 +63,14 @@
         let mut state = self.state();
         if let Some(i) = state.agent(engine) {
             let link = &mut state.agents[i];
-            link.waiting.retain(|(s, _)| *s != seq);
+            link.pending_loads.retain(|(s, _)| *s != seq);
             // An agent that does not read forgets it when the link ends.
             let _ = link.tx.try_send(ToAgent::Cancel(seq));
         }
     }
 
     /// Takes in how long an engine took until the first event of a prompt, for its agent.
-    pub fn was_read(&self, key: TargetKey, job: &Job, reads: Duration, took: Duration) {
+    pub fn record_prefill(&self, key: TargetKey, job: &Job, reads: Duration, took: Duration) {
         let Some((model, _)) = job.model_of_engine().filter(|_| !reads.is_zero()) else {
             return;
         };
@@ -93,7 +93,7 @@
         let link = &mut state.agents[i];
         link.tx.try_send(ToAgent::Prefill { seq, ask }).ok()?;
         let (tx, rx) = oneshot::channel();
-        link.reservations.push((seq, tx));
+        link.pending_slots.push((seq, tx));
         Some(rx)
     }
 }
--- a/crates/stair-relay/src/context/in_flight.rs
+++ b/crates/stair-relay/src/context/in_flight.rs
@@ -45,7 +45,7 @@
         seen.unread_tokens += tokens;
         let engine = seen.target.addr;
         for name in &names {
-            state.use_begins(engine, name);
+            state.begin_use(engine, name);
         }
         drop(state);
         Self {
@@ -84,7 +84,7 @@
         let seen = state.view.get_mut(self.key);
         seen.in_flight = seen.in_flight.saturating_sub(1);
         for name in &self.names {
-            state.use_ends(self.engine, name);
+            state.end_use(self.engine, name);
         }
     }
 }
--- a/crates/stair-relay/src/context/pending_load.rs
+++ b/crates/stair-relay/src/context/pending_load.rs
@@ -23,7 +23,7 @@
     pub(super) seq: u64,
     pub(super) rx: oneshot::Receiver<Outcome>,
     /// Whether it is to be taken back.
-    pub(super) open: bool,
+    pub(super) cancel_on_drop: bool,
 }
 
 impl PendingLoad {
@@ -34,25 +34,25 @@
     /// When the link to the agent has ended.
     pub async fn outcome(&mut self) -> Result<Outcome, RecvError> {
         let outcome = (&mut self.rx).await;
-        self.open = false;
+        self.cancel_on_drop = false;
         outcome
     }
 
     /// Whether it is neither answered nor lost.
-    pub fn is_open(&mut self) -> bool {
-        self.open = matches!(self.rx.try_recv(), Err(TryRecvError::Empty));
-        self.open
+    pub fn is_pending(&mut self) -> bool {
+        self.cancel_on_drop = matches!(self.rx.try_recv(), Err(TryRecvError::Empty));
+        self.cancel_on_drop
     }
 
     /// Lets it stand although nobody waits for its answer here.
-    pub fn stand(&mut self) {
-        self.open = false;
+    pub fn detach(&mut self) {
+        self.cancel_on_drop = false;
     }
 }
 
 impl Drop for PendingLoad {
     fn drop(&mut self) {
-        if self.open {
+        if self.cancel_on_drop {
             self.cx.cancel(self.engine, self.seq);
         }
     }
--- a/crates/stair-relay/src/context/usage.rs
+++ b/crates/stair-relay/src/context/usage.rs
@@ -10,17 +10,17 @@
 use super::State;
 
 /// Use of a model, or an adapter as `MODEL/NAME`, at one engine by this entry.
-pub(super) struct UseAt {
+pub(super) struct EngineUsage {
     engine: SocketAddr,
     used: Used,
-    told_in_flight: u32,
+    reported_in_flight: u32,
 }
 
 impl State {
     /// Notes that a request goes to an engine.
-    pub(super) fn use_begins(&mut self, engine: SocketAddr, name: &str) {
+    pub(super) fn begin_use(&mut self, engine: SocketAddr, name: &str) {
         let found = self
-            .use_of
+            .usage
             .iter_mut()
             .find(|u| u.engine == engine && *u.used.model == *name);
         if let Some(u) = found {
@@ -28,20 +28,20 @@
             u.used.in_flight += 1;
             return;
         }
-        self.use_of.push(UseAt {
+        self.usage.push(EngineUsage {
             engine,
             used: Used {
                 model: name.into(),
                 sent: 1,
                 in_flight: 1,
             },
-            told_in_flight: 0,
+            reported_in_flight: 0,
         });
     }
 
-    pub(super) fn use_ends(&mut self, engine: SocketAddr, name: &str) {
+    pub(super) fn end_use(&mut self, engine: SocketAddr, name: &str) {
         let found = self
-            .use_of
+            .usage
             .iter_mut()
             .find(|u| u.engine == engine && *u.used.model == *name);
         if let Some(u) = found {
@@ -58,16 +58,18 @@
     /// Takes what an engine's agent has not been told yet; all of it for a new link.
     pub fn take_used(&mut self, engine: SocketAddr, whole: bool) -> Vec<Used> {
         let mut out = Vec::new();
-        for u in self.use_of.iter_mut().filter(|u| u.engine == engine) {
-            let news = u.used.sent > 0 || u.used.in_flight != u.told_in_flight;
-            if news || whole {
+        for u in self.usage.iter_mut().filter(|u| u.engine == engine) {
+            let is_new = u.used.sent > 0 || u.used.in_flight != u.reported_in_flight;
+            if is_new || whole {
                 out.push(u.used.clone());
                 u.used.sent = 0;
-                u.told_in_flight = u.used.in_flight;
+                u.reported_in_flight = u.used.in_flight;
             }
         }
-        let idle = |u: &UseAt| u.used.in_flight == 0 && u.told_in_flight == 0 && u.used.sent == 0;
-        self.use_of.retain(|u| u.engine != engine || !idle(u));
+        let idle = |u: &EngineUsage| {
+            u.used.in_flight == 0 && u.reported_in_flight == 0 && u.used.sent == 0
+        };
+        self.usage.retain(|u| u.engine != engine || !idle(u));
         out
     }
 }
--- a/crates/stair-relay/src/dump.rs
+++ b/crates/stair-relay/src/dump.rs
@@ -163,8 +163,8 @@
     AgentDump {
         engine: link.engine,
         entries: link.entries,
-        loads_waiting: link.waiting.len(),
-        prefills_waiting: link.reservations.len(),
+        loads_waiting: link.pending_loads.len(),
+        prefills_waiting: link.pending_slots.len(),
     }
 }
 
--- a/crates/stair-relay/src/follow.rs
+++ b/crates/stair-relay/src/follow.rs
@@ -60,13 +60,13 @@
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// Time without a message after which a watcher is not followed any longer: three heartbeats.
-const SILENCE: Duration = Duration::from_millis(750);
+const SILENCE_TIMEOUT: Duration = Duration::from_millis(750);
 
 /// Pause between heartbeats while there is nothing to tell.
-const HEARTBEAT: Duration = Duration::from_millis(250);
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(250);
 
 /// Pause before an entry is followed again.
-const PAUSE: Duration = Duration::from_millis(1000);
+const RECONNECT_PAUSE: Duration = Duration::from_millis(1000);
 
 /// Time beyond that of a watch within which the store has to answer it.
 const VOUCH_TIME: Duration = Duration::from_millis(300);
@@ -230,7 +230,7 @@
                     .write();
             }
         }
-        sleep(PAUSE).await;
+        sleep(RECONNECT_PAUSE).await;
     }
 }
 
@@ -268,7 +268,7 @@
         return e.into();
     }
     loop {
-        let update = match timeout(SILENCE, frame::read_message(&mut stream)).await {
+        let update = match timeout(SILENCE_TIMEOUT, frame::read_message(&mut stream)).await {
             Ok(Ok(update)) => update,
             Ok(Err(e)) => return e.into(),
             Err(_) => return Ended::Silent,
@@ -298,7 +298,7 @@
                 return;
             }
         }
-        next = match timeout(HEARTBEAT, news.recv()).await {
+        next = match timeout(HEARTBEAT_INTERVAL, news.recv()).await {
             Err(_) => vec![Update::Alive],
             Ok(Ok(News::Catalogue)) => catalogue(cx, 0).into_iter().collect(),
             Ok(Ok(News::Whole)) => vec![whole(cx)],
@@ -333,7 +333,7 @@
 
 async fn write(w: &mut OwnedWriteHalf, update: &Update) -> bool {
     matches!(
-        timeout(SILENCE, frame::write_message(w, update)).await,
+        timeout(SILENCE_TIMEOUT, frame::write_message(w, update)).await,
         Ok(Ok(()))
     )
 }
--- a/crates/stair-relay/src/links.rs
+++ b/crates/stair-relay/src/links.rs
@@ -50,22 +50,22 @@
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// Pause before a link is opened anew.
-const PAUSE: Duration = Duration::from_millis(400);
+const RECONNECT_PAUSE: Duration = Duration::from_millis(400);
 
 /// Time without a message after which a link is dead; agents report every second.
-const SILENCE: Duration = Duration::from_millis(2500);
+const SILENCE_TIMEOUT: Duration = Duration::from_millis(2500);
 
 /// Pause between looks for what is to be sent to an agent.
-const TICK: Duration = Duration::from_millis(250);
+const SEND_INTERVAL: Duration = Duration::from_millis(250);
 
 /// Links up to which that pause holds. It grows in proportion beyond, to bound the processor time of small VMs.
-const TICK_LINKS: u32 = 16;
+const SEND_INTERVAL_LINKS: u32 = 16;
 
 /// Longest pause; agents take an entry for gone after several of them.
-const MAX_TICK: Duration = Duration::from_millis(1000);
+const MAX_SEND_INTERVAL: Duration = Duration::from_millis(1000);
 
 /// Time between heartbeats.
-const HEARTBEAT: Duration = Duration::from_millis(1000);
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(1000);
 
 /// Pause between looks for VMs that stand still.
 const CHECK_INTERVAL: Duration = Duration::from_millis(200);
@@ -80,7 +80,7 @@
 pub async fn keep(cx: Arc<Context>) {
     loop {
         let changed = cx.changed.notified();
-        for engine in missing(&cx) {
+        for engine in unlinked_engines(&cx) {
             let (tx, rx) = mpsc::channel(QUEUE);
             let link = AgentLink {
                 engine,
@@ -91,8 +91,8 @@
                 entries: 0,
                 stale_incarnation: None,
                 read: Vec::new(),
-                waiting: Vec::new(),
-                reservations: Vec::new(),
+                pending_loads: Vec::new(),
+                pending_slots: Vec::new(),
             };
             let mut state = cx.state();
             if let Err(i) = state.agents.binary_search_by_key(&engine, |a| a.engine) {
@@ -128,7 +128,7 @@
 }
 
 /// Engines without a link.
-fn missing(cx: &Context) -> Vec<SocketAddr> {
+fn unlinked_engines(cx: &Context) -> Vec<SocketAddr> {
     let state = cx.state();
     let Some(catalogue) = &state.catalogue else {
         return Vec::new();
@@ -148,12 +148,12 @@
 
 async fn run(cx: Arc<Context>, engine: SocketAddr, mut rx: mpsc::Receiver<ToAgent>) {
     let agent = SocketAddr::new(engine.ip(), cx.settings.agent_port);
-    while listed(&cx, engine) {
+    while is_listed(&cx, engine) {
         match timeout(CONNECT_TIMEOUT, TcpStream::connect(agent)).await {
             Ok(Ok(stream)) => {
                 Line::new("agent.linked").show("engine", engine).write();
-                begin(&cx, engine);
-                let ended = speak(&cx, engine, stream, &mut rx).await;
+                mark_linked(&cx, engine);
+                let ended = exchange(&cx, engine, stream, &mut rx).await;
                 Line::failure("agent.lost")
                     .show("engine", engine)
                     .show("why", format_args!("{ended:?}"))
@@ -170,9 +170,9 @@
             Ok(Err(_)) | Err(_) => {}
         }
         // Also when no link came up: what was asked meanwhile would wait for its whole time.
-        forget(&cx, engine);
+        mark_unlinked(&cx, engine);
         while rx.try_recv().is_ok() {}
-        sleep(PAUSE).await;
+        sleep(RECONNECT_PAUSE).await;
     }
     let mut state = cx.state();
     if let Some(i) = state.agent(engine) {
@@ -180,12 +180,12 @@
     }
 }
 
-fn listed(cx: &Context, engine: SocketAddr) -> bool {
+fn is_listed(cx: &Context, engine: SocketAddr) -> bool {
     let state = cx.state();
     state.view.all().any(|(_, s)| s.target.addr == engine)
 }
 
-fn begin(cx: &Context, engine: SocketAddr) {
+fn mark_linked(cx: &Context, engine: SocketAddr) {
     let mut state = cx.state();
     if let Some(i) = state.agent(engine) {
         state.agents[i].linked = true;
@@ -196,12 +196,12 @@
 }
 
 /// Drops what the agent said and the questions that wait for it.
-fn forget(cx: &Context, engine: SocketAddr) {
+fn mark_unlinked(cx: &Context, engine: SocketAddr) {
     let mut state = cx.state();
     if let Some(i) = state.agent(engine) {
         state.agents[i].linked = false;
-        state.agents[i].waiting.clear();
-        state.agents[i].reservations.clear();
+        state.agents[i].pending_loads.clear();
+        state.agents[i].pending_slots.clear();
         state.agents[i].read.clear();
     }
     state.owners.clear();
@@ -219,7 +219,7 @@
     Silent,
 }
 
-async fn speak(
+async fn exchange(
     cx: &Arc<Context>,
     engine: SocketAddr,
     stream: TcpStream,
@@ -236,7 +236,7 @@
 
 async fn receive(cx: &Arc<Context>, engine: SocketAddr, mut r: OwnedReadHalf) -> Ended {
     loop {
-        let msg = match timeout(SILENCE, frame::read_message(&mut r)).await {
+        let msg = match timeout(SILENCE_TIMEOUT, frame::read_message(&mut r)).await {
             Ok(Ok(msg)) => msg,
             Ok(Err(_)) => return Ended::Closed,
             Err(_) => return Ended::Silent,
@@ -256,7 +256,7 @@
                     let Some(i) = state.agent(engine) else {
                         return Ended::Closed;
                     };
-                    let list = &mut state.agents[i].waiting;
+                    let list = &mut state.agents[i].pending_loads;
                     let found = list.iter().position(|(s, _)| *s == seq);
                     found.map(|i| list.swap_remove(i).1)
                 };
@@ -268,7 +268,7 @@
                 let Some(i) = state.agent(engine) else {
                     return Ended::Closed;
                 };
-                let list = &mut state.agents[i].reservations;
+                let list = &mut state.agents[i].pending_slots;
                 let found = list.iter().position(|(s, _)| *s == seq);
                 let asked = found.map(|i| list.swap_remove(i).1);
                 let until = now + answer.backlog;
@@ -328,7 +328,7 @@
     known: Option<ReplicationState>,
     /// The target's id and the start of its life.
     incarnation: Option<(Box<str>, Option<u64>)>,
-    spoke: Option<Instant>,
+    hello_at: Option<Instant>,
 }
 
 async fn transmit(
@@ -352,8 +352,8 @@
                 }
             }
             () = sleep_until(next) => {
-                next = Instant::now() + tick(cx);
-                for msg in news(cx, engine, &mut sent) {
+                next = Instant::now() + send_interval(cx);
+                for msg in pending_messages(cx, engine, &mut sent) {
                     if !write(&mut w, &msg).await {
                         return;
                     }
@@ -363,19 +363,21 @@
     }
 }
 
-fn tick(cx: &Context) -> Duration {
+fn send_interval(cx: &Context) -> Duration {
     let links = u32::try_from(cx.state().agents.len()).unwrap_or(u32::MAX);
-    (TICK * links / TICK_LINKS).clamp(TICK, MAX_TICK)
+    (SEND_INTERVAL * links / SEND_INTERVAL_LINKS).clamp(SEND_INTERVAL, MAX_SEND_INTERVAL)
 }
 
-fn news(cx: &Context, engine: SocketAddr, sent: &mut Sent) -> Vec<ToAgent> {
+fn pending_messages(cx: &Context, engine: SocketAddr, sent: &mut Sent) -> Vec<ToAgent> {
     let mut out = Vec::new();
     let known = cx.replication_state();
-    let due = sent.spoke.is_none_or(|t| t.elapsed() >= HEARTBEAT);
+    let due = sent
+        .hello_at
+        .is_none_or(|t| t.elapsed() >= HEARTBEAT_INTERVAL);
     // The list of targets changes several times a second; that can wait for the heartbeat.
-    let news = sent.known.as_ref().map(|k| k.catalogue) != Some(known.catalogue);
-    if news || due {
-        sent.spoke = Some(Instant::now());
+    let is_new = sent.known.as_ref().map(|k| k.catalogue) != Some(known.catalogue);
+    if is_new || due {
+        sent.hello_at = Some(Instant::now());
         sent.known = Some(known.clone());
         out.push(ToAgent::Hello(known));
     }
@@ -406,7 +408,7 @@
 
 async fn write(w: &mut OwnedWriteHalf, msg: &ToAgent) -> bool {
     matches!(
-        timeout(SILENCE, frame::write_message(w, msg)).await,
+        timeout(SILENCE_TIMEOUT, frame::write_message(w, msg)).await,
         Ok(Ok(()))
     )
 }
--- a/crates/stair-relay/src/load.rs
+++ b/crates/stair-relay/src/load.rs
@@ -119,7 +119,7 @@
     log_load(job, model, at, "needed");
     if late {
         // It is to be there when the client returns.
-        pending.stand();
+        pending.detach();
         return Loaded::TooLate(at.ready_in);
     }
     let outcome = match wait_loaded(cx, job, &mut pending, refused, until).await {
@@ -168,7 +168,7 @@
         if Instant::now() >= until {
             // As if the agent had failed: the request is refused, and the model is to be there when its
             // client returns.
-            pending.stand();
+            pending.detach();
             return Some(Ok(msg::Outcome::Failed));
         }
         if find_ready(cx, job, refused, false).is_some() {
--- a/crates/stair-relay/src/prefetch.rs
+++ b/crates/stair-relay/src/prefetch.rs
@@ -35,7 +35,7 @@
     loop {
         sleep(EVERY).await;
         // An engine is asked for one load at a time.
-        asked.retain_mut(|(_, pending)| pending.is_open());
+        asked.retain_mut(|(_, pending)| pending.is_pending());
         if !leads(&cx) {
             continue;
         }
--- a/crates/stair-relay/src/quarantine.rs
+++ b/crates/stair-relay/src/quarantine.rs
@@ -102,7 +102,7 @@
         let now = self.cx.now();
         let mut state = self.cx.state();
         match self.engine {
-            Some(engine) => state.tell_ledger(engine, ToLedger::TrialEnded(self.fingerprint)),
+            Some(engine) => state.send_to_ledger(engine, ToLedger::TrialEnded(self.fingerprint)),
             None => state.quarantine.own.end_trial(self.fingerprint, now),
         }
     }
@@ -124,7 +124,7 @@
 }
 
 /// Time for which a request is not run.
-pub(crate) fn held(cx: &Context, job: &Job) -> Option<Duration> {
+pub(crate) fn quarantined_for(cx: &Context, job: &Job) -> Option<Duration> {
     match standing(cx, job)? {
         Standing::Quarantined(left) => Some(left),
         Standing::Suspect | Standing::Cleared => None,
@@ -137,7 +137,7 @@
 ///
 /// The refusal, with the time after which the request is run again.
 pub(crate) fn admit(cx: &Context, job: &Job) -> Result<(), Refusal> {
-    let Some(left) = held(cx, job) else {
+    let Some(left) = quarantined_for(cx, job) else {
         return Ok(());
     };
     Line::failure("quarantine.refused")
@@ -154,13 +154,13 @@
     match standing(cx, job) {
         None | Some(Standing::Cleared) => Gate::Open(None),
         Some(Standing::Quarantined(left)) => Gate::Closed(left),
-        Some(Standing::Suspect) => trial(cx, job, target).await,
+        Some(Standing::Suspect) => request_trial(cx, job, target).await,
     }
 }
 
-async fn trial(cx: &Arc<Context>, job: &Job, target: &str) -> Gate {
+async fn request_trial(cx: &Arc<Context>, job: &Job, target: &str) -> Gate {
     let fingerprint = job.fingerprint();
-    let (granted, engine) = match ask(cx, fingerprint, target).await {
+    let (granted, engine) = match query_ledger(cx, fingerprint, target).await {
         Some((granted, engine)) => (granted, Some(engine)),
         None => {
             let now = cx.now();
@@ -185,7 +185,7 @@
 }
 
 /// Asks the first agent that keeps a ledger; `None` when it does not answer.
-async fn ask(
+async fn query_ledger(
     cx: &Arc<Context>,
     fingerprint: Fingerprint,
     target: &str,
@@ -205,7 +205,7 @@
             fingerprint,
             target: target.into(),
         };
-        state.tell_ledger(engine, msg);
+        state.send_to_ledger(engine, msg);
         (engine, rx)
     };
     if let Ok(Ok(granted)) = timeout(REPLY_TIMEOUT, rx).await {
@@ -227,7 +227,7 @@
     let mut state = cx.state();
     let engines = state.ledgers(now);
     for engine in &engines {
-        state.tell_ledger(*engine, ToLedger::Crashed(crash.clone()));
+        state.send_to_ledger(*engine, ToLedger::Crashed(crash.clone()));
     }
     if !engines.is_empty() {
         return;
@@ -258,7 +258,7 @@
     state.quarantine.watchlist.remove(&fingerprint);
     state.quarantine.own.survived(fingerprint);
     for engine in state.ledgers(now) {
-        state.tell_ledger(engine, ToLedger::Survived(fingerprint));
+        state.send_to_ledger(engine, ToLedger::Survived(fingerprint));
     }
 }
 
@@ -284,7 +284,7 @@
     let state = cx.state();
     let known = state.quarantine.watchlist.notices(now);
     if !known.is_empty() && state.ledgers(now).contains(&engine) {
-        state.tell_ledger(engine, ToLedger::Known(known));
+        state.send_to_ledger(engine, ToLedger::Known(known));
     }
 }
 
@@ -318,7 +318,7 @@
         first.map(|i| linked[i].engine).collect()
     }
 
-    fn tell_ledger(&self, engine: SocketAddr, msg: ToLedger) {
+    fn send_to_ledger(&self, engine: SocketAddr, msg: ToLedger) {
         if let Some(i) = self.agent(engine) {
             // An agent that does not read is one of several that are told.
             let _ = self.agents[i].tx.try_send(ToAgent::Quarantine(msg));
--- a/crates/stair-relay/src/select.rs
+++ b/crates/stair-relay/src/select.rs
@@ -287,7 +287,7 @@
         log_load(job, model, placement, "beside");
         // The next report tells what came of it.
         if let Some(mut pending) = ask(cx, model, placement, REPLICA_TTL, true) {
-            pending.stand();
+            pending.detach();
         }
     }
 }
--- a/crates/stair-relay/src/stream.rs
+++ b/crates/stair-relay/src/stream.rs
@@ -129,7 +129,7 @@
     };
     source.in_flight.read();
     if first.is_some() {
-        cx.was_read(key, job, selected.reads, selected.selected_at.elapsed());
+        cx.record_prefill(key, job, selected.reads, selected.selected_at.elapsed());
     }
     let took = begun.elapsed().as_secs_f64() * 1000.0;
     cx.state()
