--- a/crates/stair-relay/src/change.rs
+++ b/crates/stair-relay/src/change.rs
@@ -19,11 +19,11 @@
 
 /// How soon a change of the list has to be known.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Weight {
+pub enum Urgency {
     /// It decides whether a target gets requests.
-    Major,
+    Immediate,
     /// It is about what a target holds.
-    Minor,
+    Deferred,
 }
 
 /// A change of the list of targets.
@@ -45,16 +45,16 @@
     }
 
     /// How soon it has to be known: what a target holds changes many times a second, and its agent tells that.
-    pub fn weight(&self, view: &View) -> Weight {
+    pub fn urgency(&self, view: &View) -> Urgency {
         let Self::Put(new) = self else {
-            return Weight::Major;
+            return Urgency::Immediate;
         };
         let known = view.all().find(|(_, s)| s.target.id == new.id);
-        let holds_alone = known
+        let only_inventory = known
             .is_some_and(|(_, s)| s.missing_until.is_none() && s.target.is_same_but_for_holds(new));
-        match holds_alone {
-            true => Weight::Minor,
-            false => Weight::Major,
+        match only_inventory {
+            true => Urgency::Deferred,
+            false => Urgency::Immediate,
         }
     }
 }
--- a/crates/stair-relay/src/follow.rs
+++ b/crates/stair-relay/src/follow.rs
@@ -46,12 +46,12 @@
 use crate::{
     change::{
         TargetChange,
-        Weight, //
+        Urgency, //
     },
     context::Context,
     peers::{
-        Ask,
-        Question, //
+        PeerRequest, //
+        Versions,
     },
     replicate,
 };
@@ -69,17 +69,17 @@
 const RECONNECT_PAUSE: Duration = Duration::from_millis(1000);
 
 /// Time beyond that of a watch within which the store has to answer it.
-const VOUCH_TIME: Duration = Duration::from_millis(300);
+const REPLY_SLACK: Duration = Duration::from_millis(300);
 
 /// Pause between reports of what targets hold, which their agents report at once.
-const HOLDS_EVERY: Duration = Duration::from_millis(4000);
+const INVENTORY_INTERVAL: Duration = Duration::from_millis(4000);
 
 /// Changes that wait for one follower; one that has missed some begins anew.
 const QUEUE: usize = 64;
 
 /// What an entry watches.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Part {
+pub enum Watched {
     /// What operators declare.
     Catalogue,
     /// The list of targets.
@@ -88,7 +88,7 @@
 
 /// What has changed, for the connections of followers.
 #[derive(Debug, Clone)]
-pub enum News {
+pub enum StateChange {
     /// Another catalogue is in force.
     Catalogue,
     /// The whole list of targets was replaced.
@@ -110,27 +110,27 @@
 /// Whether this entry follows another, and what it tells those that follow it.
 pub struct Follow {
     follows: watch::Sender<bool>,
-    news: broadcast::Sender<News>,
+    updates: broadcast::Sender<StateChange>,
     state: Mutex<State>,
 }
 
 struct State {
-    /// Until when the store's next word on each part is on time; `None` after a call that failed.
-    on_time: [Option<Instant>; 2],
+    /// Until when the store's next word on each watched is on time; `None` after a call that failed.
+    reply_due: [Option<Instant>; 2],
     /// The last words of what targets hold that have not been told, by id.
-    minor: Vec<TargetChange>,
-    minor_told: Instant,
+    deferred: Vec<TargetChange>,
+    deferred_sent_at: Instant,
 }
 
 impl Default for Follow {
     fn default() -> Self {
         Self {
             follows: watch::Sender::new(false),
-            news: broadcast::Sender::new(QUEUE),
+            updates: broadcast::Sender::new(QUEUE),
             state: Mutex::new(State {
-                on_time: [None; 2],
-                minor: Vec::new(),
-                minor_told: Instant::now(),
+                reply_due: [None; 2],
+                deferred: Vec::new(),
+                deferred_sent_at: Instant::now(),
             }),
         }
     }
@@ -143,74 +143,74 @@
     }
 
     /// Waits until this entry has to watch the store itself.
-    pub async fn until_alone(&self) {
+    pub async fn until_not_following(&self) {
         // The sender lives as long as this.
         let _ = self.follows.subscribe().wait_for(|f| !*f).await;
     }
 
     /// The time of a watch: another one while others follow.
-    pub fn wait(&self, alone: Duration, followed: Duration) -> Duration {
-        match self.news.receiver_count() {
+    pub fn watch_duration(&self, alone: Duration, followed: Duration) -> Duration {
+        match self.updates.receiver_count() {
             0 => alone,
             _ => followed,
         }
     }
 
-    /// Notes that the store's next word on a part is due within a time: a watch has begun, or will after a
+    /// Notes that the store's next word on a watched is due within a time: a watch has begun, or will after a
     /// pause.
-    pub fn expects(&self, part: Part, within: Duration) {
-        self.state().on_time[part as usize] = Some(Instant::now() + within + VOUCH_TIME);
+    pub fn expect_reply(&self, watched: Watched, within: Duration) {
+        self.state().reply_due[watched as usize] = Some(Instant::now() + within + REPLY_SLACK);
     }
 
-    /// Notes that a call for a part has failed.
-    pub fn fails(&self, part: Part) {
-        self.state().on_time[part as usize] = None;
+    /// Notes that a call for a watched has failed.
+    pub fn record_failure(&self, watched: Watched) {
+        self.state().reply_due[watched as usize] = None;
     }
 
     /// Tells followers.
-    pub fn publish(&self, news: News) {
+    pub fn publish(&self, change: StateChange) {
         // Nobody follows when this fails.
-        let _ = self.news.send(news);
+        let _ = self.updates.send(change);
     }
 
     /// Tells followers of changes, in their order; the minor ones only now and then.
     ///
     /// A minor word that waits is dropped when a later one comes for its target. Told after that, it would
     /// bring back a target that has said that it leaves, and requests sent there would be cut.
-    pub fn changed(&self, changes: Vec<(TargetChange, Weight)>, revision: u64) {
+    pub fn changed(&self, changes: Vec<(TargetChange, Urgency)>, revision: u64) {
         let mut state = self.state();
-        if self.news.receiver_count() == 0 {
-            state.minor.clear();
+        if self.updates.receiver_count() == 0 {
+            state.deferred.clear();
             return;
         }
         let mut update = Vec::new();
-        for (change, weight) in changes {
-            state.minor.retain(|c| c.id() != change.id());
-            match weight {
-                Weight::Major => update.push(change),
-                Weight::Minor => state.minor.push(change),
+        for (change, urgency) in changes {
+            state.deferred.retain(|c| c.id() != change.id());
+            match urgency {
+                Urgency::Immediate => update.push(change),
+                Urgency::Deferred => state.deferred.push(change),
             }
         }
-        if state.minor_told.elapsed() >= HOLDS_EVERY {
-            state.minor_told = Instant::now();
-            update.append(&mut state.minor);
+        if state.deferred_sent_at.elapsed() >= INVENTORY_INTERVAL {
+            state.deferred_sent_at = Instant::now();
+            update.append(&mut state.deferred);
         }
         drop(state);
-        self.publish(News::Changes(update.into(), revision));
+        self.publish(StateChange::Changes(update.into(), revision));
     }
 
     /// Whether what operators declared lately is known here: the store's word on it, or that of the entry that
     /// is followed, is on time.
     pub fn is_current(&self) -> bool {
-        let due = self.state().on_time[Part::Catalogue as usize];
+        let due = self.state().reply_due[Watched::Catalogue as usize];
         self.follows() || due.is_some_and(|t| Instant::now() < t)
     }
 
     /// Whether others may rely on what this entry knows.
-    fn vouches(&self) -> bool {
+    fn is_authoritative(&self) -> bool {
         let now = Instant::now();
-        let on_time = self.state().on_time;
-        !self.follows() && on_time.iter().all(|t| t.is_some_and(|t| now < t))
+        let reply_due = self.state().reply_due;
+        !self.follows() && reply_due.iter().all(|t| t.is_some_and(|t| now < t))
     }
 
     fn state(&self) -> MutexGuard<'_, State> {
@@ -260,7 +260,7 @@
         return Ended::NotOpened;
     };
     let own = cx.replication_state();
-    let question = Question::Follow(Ask {
+    let question = PeerRequest::Follow(Versions {
         catalogue: own.catalogue,
         targets: own.targets,
     });
@@ -278,7 +278,7 @@
             Update::Whole(list, revision) => {
                 replicate::apply_listed(cx, list, revision, &peer.entry)
             }
-            Update::Changes(changes, revision) => replicate::take_changes(cx, changes, revision),
+            Update::Changes(changes, revision) => replicate::apply_changes(cx, changes, revision),
             Update::Alive => {}
         }
         if !cx.follow.follows.send_replace(true) {
@@ -289,20 +289,20 @@
 
 /// Tells one follower all that is newer than what it has, and then what is new, for as long as this entry
 /// vouches for it.
-pub async fn serve(cx: &Context, ask: &Ask, mut w: OwnedWriteHalf) {
-    let mut news = cx.follow.news.subscribe();
-    let mut next = first(cx, ask);
+pub async fn serve(cx: &Context, known: &Versions, mut w: OwnedWriteHalf) {
+    let mut updates = cx.follow.updates.subscribe();
+    let mut next = initial_updates(cx, known);
     loop {
         for update in next {
-            if !cx.follow.vouches() || !write(&mut w, &update).await {
+            if !cx.follow.is_authoritative() || !write(&mut w, &update).await {
                 return;
             }
         }
-        next = match timeout(HEARTBEAT_INTERVAL, news.recv()).await {
+        next = match timeout(HEARTBEAT_INTERVAL, updates.recv()).await {
             Err(_) => vec![Update::Alive],
-            Ok(Ok(News::Catalogue)) => catalogue(cx, 0).into_iter().collect(),
-            Ok(Ok(News::Whole)) => vec![whole(cx)],
-            Ok(Ok(News::Changes(changes, revision))) => {
+            Ok(Ok(StateChange::Catalogue)) => catalogue(cx, 0).into_iter().collect(),
+            Ok(Ok(StateChange::Whole)) => vec![full_list(cx)],
+            Ok(Ok(StateChange::Changes(changes, revision))) => {
                 vec![Update::Changes(changes.to_vec(), revision)]
             }
             // It has missed some, and begins anew.
@@ -311,10 +311,10 @@
     }
 }
 
-fn first(cx: &Context, ask: &Ask) -> Vec<Update> {
-    let mut out: Vec<Update> = catalogue(cx, ask.catalogue).into_iter().collect();
-    if cx.state().view.revision > ask.targets {
-        out.push(whole(cx));
+fn initial_updates(cx: &Context, known: &Versions) -> Vec<Update> {
+    let mut out: Vec<Update> = catalogue(cx, known.catalogue).into_iter().collect();
+    if cx.state().view.revision > known.targets {
+        out.push(full_list(cx));
     }
     out.push(Update::Alive);
     out
@@ -326,7 +326,7 @@
     Some(Update::Catalogue((**newer).clone()))
 }
 
-fn whole(cx: &Context) -> Update {
+fn full_list(cx: &Context) -> Update {
     let state = cx.state();
     Update::Whole(state.view.list(cx.now()), state.view.revision)
 }
--- a/crates/stair-relay/src/prefetch.rs
+++ b/crates/stair-relay/src/prefetch.rs
@@ -21,7 +21,7 @@
 };
 
 /// Pause between looks.
-const EVERY: Duration = Duration::from_millis(300);
+const CHECK_INTERVAL: Duration = Duration::from_millis(300);
 
 /// Time for which a prefetch is of use, longer than a load from a shared weight store.
 const PREFETCH_TIME: Duration = Duration::from_secs(14);
@@ -33,7 +33,7 @@
 pub async fn keep(cx: Arc<Context>) {
     let mut asked: Vec<(Asked, PendingLoad)> = Vec::new();
     loop {
-        sleep(EVERY).await;
+        sleep(CHECK_INTERVAL).await;
         // An engine is asked for one load at a time.
         asked.retain_mut(|(_, pending)| pending.is_pending());
         if !leads(&cx) {
--- a/crates/stair-relay/src/replicate.rs
+++ b/crates/stair-relay/src/replicate.rs
@@ -39,38 +39,38 @@
     },
     context::Context,
     follow::{
-        News,
-        Part, //
+        StateChange,
+        Watched, //
     }, //
 };
 
 /// Time of a watch. Its end shows a silent connection, so it bounds the age of the state; each call is charged.
-const WATCH_TIME: Duration = Duration::from_millis(3000);
+const WATCH_DURATION: Duration = Duration::from_millis(3000);
 
 /// The same for the targets at an entry that others follow.
-const FOLLOWED_TARGETS_TIME: Duration = Duration::from_millis(500);
+const FOLLOWED_TARGETS_DURATION: Duration = Duration::from_millis(500);
 
 /// The same for declarations, which have no pause after a change.
-const FOLLOWED_CATALOGUE_TIME: Duration = Duration::from_millis(1000);
+const FOLLOWED_CATALOGUE_DURATION: Duration = Duration::from_millis(1000);
 
 /// Pause after a failed call, doubled with each further one. Rejected calls are charged too.
-const PAUSE: Duration = Duration::from_millis(300);
+const RETRY_PAUSE: Duration = Duration::from_millis(300);
 
 /// Longest pause: changes are due within two seconds after the store is back.
-const MAX_PAUSE: Duration = Duration::from_millis(1200);
+const MAX_RETRY_PAUSE: Duration = Duration::from_millis(1200);
 
 /// Pause between watches of the targets that bring changes, which come many times a second.
-const GATHER: Duration = Duration::from_millis(600);
+const BATCH_PAUSE: Duration = Duration::from_millis(600);
 
 /// The same while the process is young: after a power cut all targets announce new lives.
-const GATHER_YOUNG: Duration = Duration::from_millis(150);
+const RECENT_START_BATCH_PAUSE: Duration = Duration::from_millis(150);
 
 /// Age up to which a process is young: three heartbeats of a target and its start.
-const YOUNG: Duration = Duration::from_secs(5);
+const RECENT_START: Duration = Duration::from_secs(5);
 
 /// Time for which a target that is missing after the store was away is still used; a live one announces itself
 /// within two seconds.
-pub const MISSING_TIME: Duration = Duration::from_millis(1900);
+pub const MISSING_GRACE: Duration = Duration::from_millis(1900);
 
 /// Follows the declarations for as long as the process runs.
 ///
@@ -79,17 +79,17 @@
 pub async fn follow_catalogue(cx: Arc<Context>) {
     let mut health = Health::new("catalogue");
     loop {
-        cx.follow.until_alone().await;
+        cx.follow.until_not_following().await;
         let store = cx.store();
         let begun = Instant::now();
         let page = store.list(catalogue::KIND, None).await;
-        time_call(&cx, "list", begun);
+        record_call_time(&cx, "list", begun);
         match page {
             Ok(page) => {
                 health.ok();
                 let objects = page.objects.into_iter();
                 let found = objects.filter(|o| *o.name == *catalogue::NAME);
-                found.for_each(|o| take_catalogue(&cx, o));
+                found.for_each(|o| receive_catalogue(&cx, o));
                 watch_catalogue(&cx, &store, page.revision, &mut health).await;
             }
             Err(e) => health.failed(&e),
@@ -100,36 +100,38 @@
 
 async fn watch_catalogue(cx: &Context, store: &Store, mut since: u64, health: &mut Health) {
     while !cx.follow.follows() {
-        let wait = cx.follow.wait(WATCH_TIME, FOLLOWED_CATALOGUE_TIME);
-        cx.follow.expects(Part::Catalogue, wait);
+        let wait = cx
+            .follow
+            .watch_duration(WATCH_DURATION, FOLLOWED_CATALOGUE_DURATION);
+        cx.follow.expect_reply(Watched::Catalogue, wait);
         match store.watch(catalogue::KIND, since, wait).await {
-            Ok(news) => {
+            Ok(update) => {
                 health.ok();
-                since = news.revision;
-                for change in news.changes {
+                since = update.revision;
+                for change in update.changes {
                     if let Change::Put(object) = change
                         && *object.name == *catalogue::NAME
                     {
-                        take_catalogue(cx, object);
+                        receive_catalogue(cx, object);
                     }
                 }
             }
-            Err(e) => return watch_ended(cx, Part::Catalogue, health, &e),
+            Err(e) => return record_watch_error(cx, Watched::Catalogue, health, &e),
         }
     }
 }
 
 /// Takes in why a watch has ended. One whose history is gone is read anew; the store is there.
-fn watch_ended(cx: &Context, part: Part, health: &mut Health, e: &Error) {
+fn record_watch_error(cx: &Context, watched: Watched, health: &mut Health, e: &Error) {
     if *e == Error::Gone {
-        cx.follow.expects(part, PAUSE);
+        cx.follow.expect_reply(watched, RETRY_PAUSE);
         return;
     }
-    cx.follow.fails(part);
+    cx.follow.record_failure(watched);
     health.failed(e);
 }
 
-fn take_catalogue(cx: &Context, mut object: Object) {
+fn receive_catalogue(cx: &Context, mut object: Object) {
     let decoded = catalogue::decode(&object.spec);
     workspace::wipe_keys(&mut object.spec);
     match decoded {
@@ -160,7 +162,7 @@
         .write();
     let gauge = i64::try_from(version).unwrap_or(i64::MAX);
     cx.page.gauge("catalogue_version", &[], gauge);
-    cx.follow.publish(News::Catalogue);
+    cx.follow.publish(StateChange::Catalogue);
     cx.changed.notify_waiters();
 }
 
@@ -169,12 +171,12 @@
     let mut health = Health::new("targets");
     loop {
         cx.declared().await;
-        cx.follow.until_alone().await;
+        cx.follow.until_not_following().await;
         let store = cx.store();
         match list_targets(&cx, &store).await {
             Ok((targets, revision)) => {
-                let was_away = health.ok();
-                apply_targets(&cx, targets, revision, was_away);
+                let was_unavailable = health.ok();
+                apply_targets(&cx, targets, revision, was_unavailable);
                 watch_targets(&cx, &store, &mut health).await;
             }
             Err(e) => health.failed(&e),
@@ -184,7 +186,7 @@
 }
 
 /// Takes the time of a store call that does not wait for changes, answered or not.
-fn time_call(cx: &Context, call: &str, begun: Instant) {
+fn record_call_time(cx: &Context, call: &str, begun: Instant) {
     let labels = [("call", call)];
     cx.page.time("store_call_ms", &labels, begun.elapsed());
 }
@@ -196,7 +198,7 @@
     loop {
         let begun = Instant::now();
         let page = store.list(target::KIND, after.as_deref()).await;
-        time_call(cx, "list", begun);
+        record_call_time(cx, "list", begun);
         let page = page?;
         // Changes between pages are seen again by a watch from the first page's revision.
         revision.get_or_insert(page.revision);
@@ -209,10 +211,10 @@
 }
 
 /// Takes a whole list in. After the store was away, what is missing may only be late.
-fn apply_targets(cx: &Context, targets: Vec<Target>, revision: u64, was_away: bool) {
+fn apply_targets(cx: &Context, targets: Vec<Target>, revision: u64, was_unavailable: bool) {
     let now = cx.now();
-    let grace = if was_away {
-        MISSING_TIME
+    let grace = if was_unavailable {
+        MISSING_GRACE
     } else {
         Duration::ZERO
     };
@@ -249,41 +251,47 @@
         .num("count", count)
         .text("source", source)
         .write();
-    cx.follow.publish(News::Whole);
+    cx.follow.publish(StateChange::Whole);
     cx.changed.notify_waiters();
 }
 
 /// Watches for as long as the store answers. What a peer has told meanwhile is not asked for again.
 async fn watch_targets(cx: &Context, store: &Store, health: &mut Health) {
     loop {
-        cx.follow.until_alone().await;
+        cx.follow.until_not_following().await;
         let since = cx.state().view.revision;
-        let wait = cx.follow.wait(WATCH_TIME, FOLLOWED_TARGETS_TIME);
-        cx.follow.expects(Part::Targets, wait);
+        let wait = cx
+            .follow
+            .watch_duration(WATCH_DURATION, FOLLOWED_TARGETS_DURATION);
+        cx.follow.expect_reply(Watched::Targets, wait);
         match store.watch(target::KIND, since, wait).await {
-            Ok(news) => {
+            Ok(update) => {
                 health.ok();
                 let changes: Vec<TargetChange> =
-                    news.changes.into_iter().map(TargetChange::from).collect();
+                    update.changes.into_iter().map(TargetChange::from).collect();
                 let any = !changes.is_empty();
-                take_changes(cx, changes, news.revision);
+                apply_changes(cx, changes, update.revision);
                 if any {
-                    let young = cx.now() < YOUNG;
-                    let pause = if young { GATHER_YOUNG } else { GATHER };
-                    cx.follow.expects(Part::Targets, pause);
+                    let recent = cx.now() < RECENT_START;
+                    let pause = if recent {
+                        RECENT_START_BATCH_PAUSE
+                    } else {
+                        BATCH_PAUSE
+                    };
+                    cx.follow.expect_reply(Watched::Targets, pause);
                     sleep(pause).await;
                 }
             }
             // Without an outage what is missing from the new list is gone.
-            Err(e) => return watch_ended(cx, Part::Targets, health, &e),
+            Err(e) => return record_watch_error(cx, Watched::Targets, health, &e),
         }
     }
 }
 
 /// Takes changes of the list in, from the store or from a peer that watches it, up to a revision.
-pub fn take_changes(cx: &Context, changes: Vec<TargetChange>, revision: u64) {
+pub fn apply_changes(cx: &Context, changes: Vec<TargetChange>, revision: u64) {
     let mut lines = Vec::new();
-    let mut weighed = Vec::new();
+    let mut ranked = Vec::new();
     let any = !changes.is_empty();
     {
         let mut state = cx.state();
@@ -294,7 +302,7 @@
         let now = cx.now();
         state.view.expire(now);
         for change in changes {
-            let weight = change.weight(&state.view);
+            let urgency = change.urgency(&state.view);
             let was = state.view.state_of(change.id());
             match &change {
                 TargetChange::Removed(id) => state.view.remove(id),
@@ -306,7 +314,7 @@
             if was != is {
                 lines.push((Box::<str>::from(change.id()), is));
             }
-            weighed.push((change, weight));
+            ranked.push((change, urgency));
         }
         state.view.revision = revision;
     }
@@ -318,7 +326,7 @@
             .num("revision", revision)
             .write();
     }
-    cx.follow.changed(weighed, revision);
+    cx.follow.changed(ranked, revision);
     if any {
         cx.changed.notify_waiters();
     }
@@ -361,6 +369,6 @@
     fn pause(&self) -> Duration {
         // Beyond a few doublings the bound decides.
         let doublings = self.failures.saturating_sub(1).min(4);
-        (PAUSE * 2_u32.pow(doublings)).min(MAX_PAUSE)
+        (RETRY_PAUSE * 2_u32.pow(doublings)).min(MAX_RETRY_PAUSE)
     }
 }
