--- a/crates/stair-relay/src/admit.rs
+++ b/crates/stair-relay/src/admit.rs
@@ -75,10 +75,10 @@
 const STARTING_RETRY_AFTER: Duration = Duration::from_millis(300);
 
 /// Time that a stream may need. A stopping entry with less left rejects it: the end of the process would cut it.
-const STREAM_TIME: Duration = Duration::from_millis(4600);
+const MIN_STREAM_DURATION: Duration = Duration::from_millis(4600);
 
 /// The same for other requests.
-const PLAIN_TIME: Duration = Duration::from_millis(1200);
+const MIN_REQUEST_DURATION: Duration = Duration::from_millis(1200);
 
 /// Reads the request and finds its route.
 ///
@@ -93,21 +93,21 @@
 ) -> Result<Job, Refusal> {
     let serving = Serving::begin(cx.clone());
     let (head, body) = req.into_parts();
-    check(&head.headers)?;
+    check_framing(&head.headers)?;
     let catalogue = cx.state().catalogue.clone();
     let Some(catalogue) = catalogue else {
         let retry_after = Some(STARTING_RETRY_AFTER);
         return Err(Refusal::not_run(Reason::Starting, retry_after));
     };
-    let route = find(&catalogue, &head.uri, &head.headers)
+    let route = find_route(&catalogue, &head.uri, &head.headers)
         .ok_or(Refusal::not_run(Reason::NoRoute, None))?
         .clone();
     let workspace = authorize::authorize(cx, &catalogue, &route, &head.headers)?.cloned();
     if let Some(left) = cx.ends_in() {
         let needed = if route.stream {
-            STREAM_TIME
+            MIN_STREAM_DURATION
         } else {
-            PLAIN_TIME
+            MIN_REQUEST_DURATION
         };
         if left < needed.min(route.timeout) {
             let retry_after = Some(STOPPING_RETRY_AFTER);
@@ -126,10 +126,10 @@
         request::strip_key(&mut headers);
     }
     let mut job = Job {
-        shared: shared(&meta),
-        parts: parts(&meta),
+        shared_prefix: shared_prefix(&meta),
+        prefix_blocks: prefix_blocks(&meta),
         more_urgent: catalogue.more_urgent(&service, rank(&route, workspace.as_ref())),
-        pause: catalogue.shortest_pause(&service),
+        shortest_pause: catalogue.shortest_pause(&service),
         meta,
         route,
         workspace,
@@ -149,7 +149,7 @@
     quarantine::admit(cx, &job)?;
     job.grant = take_quota(cx, &job).await?;
     cx.count_request(&job.service);
-    log(&job, wait);
+    log_request(&job, wait);
     Ok(job)
 }
 
@@ -169,7 +169,7 @@
     quota::take(cx, workspace, &opts).await
 }
 
-fn log(job: &Job, wait: Duration) {
+fn log_request(job: &Job, wait: Duration) {
     let (meta, route) = (&job.meta, &job.route);
     Line::new("request")
         .text("id", &meta.id)
@@ -188,7 +188,7 @@
 
 /// Refuses what different readers could understand differently: one hop would take the rest of such
 /// a body for another request, which no client sent.
-fn check(headers: &HeaderMap) -> Result<(), Refusal> {
+fn check_framing(headers: &HeaderMap) -> Result<(), Refusal> {
     let malformed = Err(Refusal::not_run(Reason::Malformed, None));
     let both = headers.contains_key(TRANSFER_ENCODING) && headers.contains_key(CONTENT_LENGTH);
     let several = headers.get_all(HOST).iter().count() > 1
@@ -200,7 +200,11 @@
     Ok(())
 }
 
-fn find<'a>(catalogue: &'a Catalogue, uri: &hyper::Uri, headers: &HeaderMap) -> Option<&'a Route> {
+fn find_route<'a>(
+    catalogue: &'a Catalogue,
+    uri: &hyper::Uri,
+    headers: &HeaderMap,
+) -> Option<&'a Route> {
     let host = match uri.authority() {
         Some(authority) => authority.as_str(),
         None => headers.get(HOST)?.to_str().ok()?,
@@ -268,7 +272,7 @@
 }
 
 /// The parts of the prompt, each with a name for everything up to its end.
-fn parts(meta: &Meta) -> Vec<Part> {
+fn prefix_blocks(meta: &Meta) -> Vec<Part> {
     let mut chain = xxh3_64(format!("{:?}/{:?}", meta.model, meta.adapter).as_bytes());
     let part = |(id, tokens): &(u64, u64)| {
         chain = xxh3_64_with_seed(&id.to_le_bytes(), chain);
@@ -281,7 +285,7 @@
 }
 
 /// The part of the prompt that other requests share: all parts but the last.
-fn shared(meta: &Meta) -> Option<(u64, u64)> {
+fn shared_prefix(meta: &Meta) -> Option<(u64, u64)> {
     let (_, head) = meta.parts.split_last()?;
     if head.is_empty() {
         return None;
--- a/crates/stair-relay/src/failures.rs
+++ b/crates/stair-relay/src/failures.rs
@@ -40,10 +40,10 @@
 
     /// Notes that another target served it.
     pub fn served(&mut self) {
-        self.put_down(true);
+        self.attribute(true);
     }
 
-    fn put_down(&mut self, served: bool) {
+    fn attribute(&mut self, served: bool) {
         let failed = std::mem::take(&mut self.keys);
         if failed.is_empty() {
             return;
@@ -68,6 +68,6 @@
 
 impl Drop for Failures {
     fn drop(&mut self) {
-        self.put_down(false);
+        self.attribute(false);
     }
 }
--- a/crates/stair-relay/src/job.rs
+++ b/crates/stair-relay/src/job.rs
@@ -69,13 +69,13 @@
     /// The catalogue that was in force when the request came.
     pub(crate) catalogue: Arc<Catalogue>,
     /// Tokens of the prompt's head that other requests share, and its hash.
-    pub shared: Option<(u64, u64)>,
+    pub shared_prefix: Option<(u64, u64)>,
     /// The parts of its prompt.
-    pub parts: Vec<Part>,
+    pub prefix_blocks: Vec<Part>,
     /// The shortest objective of more urgent requests to the service, which go first.
     pub more_urgent: Option<Duration>,
     /// The shortest pause between events that clients of the service's streams are promised.
-    pub pause: Option<Duration>,
+    pub shortest_pause: Option<Duration>,
     /// When it came.
     pub received: Instant,
     /// When it has to be answered.
--- a/crates/stair-relay/src/load.rs
+++ b/crates/stair-relay/src/load.rs
@@ -46,7 +46,7 @@
 };
 
 /// Time that a rejected client may return later than told; a lost packet is sent again after a second.
-const RETURN_TIME: Duration = Duration::from_millis(1000);
+const RETURN_SLACK: Duration = Duration::from_millis(1000);
 
 /// What came of a try to have a model loaded.
 pub enum Loaded {
@@ -59,7 +59,7 @@
     /// It would come too late; when to come back.
     TooLate(Duration),
     /// It would come too late, and an engine that is down may be back with it before.
-    Down,
+    EngineDown,
     /// No engine can load it.
     NoCapacity,
 }
@@ -109,11 +109,11 @@
     let late = begun + at.ready_in + RUN_DURATION > until;
     // A load that comes too late for this request anyway keeps the weight store from others.
     if late && at.from == Copy::Store && begun < outage_until && outage::is_expected(cx, job) {
-        return Loaded::Down;
+        return Loaded::EngineDown;
     }
     let waits = until.saturating_duration_since(begun);
-    let of_use = at.ready_in.max(waits + DEFAULT_RETRY_AFTER) + RETURN_TIME;
-    let Some(mut pending) = ask(cx, model, at, of_use, false) else {
+    let of_use = at.ready_in.max(waits + DEFAULT_RETRY_AFTER) + RETURN_SLACK;
+    let Some(mut pending) = request(cx, model, at, of_use, false) else {
         return Loaded::Refused(at.key);
     };
     log_load(job, model, at, "needed");
@@ -143,7 +143,7 @@
     cx.page.time("wake_ms", &from, begun.elapsed());
     match outcome {
         Ok(msg::Outcome::Ready) => {
-            settled(cx, model, at.key);
+            mark_loaded(cx, model, at.key);
             Loaded::Ready
         }
         _ => Loaded::Refused(at.key),
@@ -204,7 +204,7 @@
 
 /// Asks an engine's agent for a model, and notes it as loading there until the next report says
 /// better: requests for other models would otherwise choose the same engine at the same moment.
-pub fn ask(
+pub fn request(
     cx: &Arc<Context>,
     model: &str,
     at: &cold_start::Outcome,
@@ -266,7 +266,7 @@
 }
 
 /// Notes that an engine holds a model, ahead of the report that says so.
-fn settled(cx: &Context, model: &str, key: TargetKey) {
+fn mark_loaded(cx: &Context, model: &str, key: TargetKey) {
     let mut state = cx.state();
     if let Some((report, _)) = &mut state.view.get_mut(key).report {
         if report.holds.model(model).is_none() {
--- a/crates/stair-relay/src/outage.rs
+++ b/crates/stair-relay/src/outage.rs
@@ -29,7 +29,7 @@
 
 /// Waits until a target can run the request or load its model from a copy. Returns false when no engine is
 /// expected back, or none has come until `until`.
-pub(crate) async fn wait(
+pub(crate) async fn wait_for_return(
     cx: &Arc<Context>,
     job: &Job,
     tried: &[TargetKey],
--- a/crates/stair-relay/src/prefetch.rs
+++ b/crates/stair-relay/src/prefetch.rs
@@ -24,10 +24,10 @@
 const CHECK_INTERVAL: Duration = Duration::from_millis(300);
 
 /// Time for which a prefetch is of use, longer than a load from a shared weight store.
-const PREFETCH_TIME: Duration = Duration::from_secs(14);
+const PREFETCH_TTL: Duration = Duration::from_secs(14);
 
 /// Loads requested in one look.
-const AT_ONCE: usize = 4;
+const MAX_LOADS_PER_CHECK: usize = 4;
 
 /// Looks for loads worth making, for as long as the process runs.
 pub async fn keep(cx: Arc<Context>) {
@@ -36,10 +36,10 @@
         sleep(CHECK_INTERVAL).await;
         // An engine is asked for one load at a time.
         asked.retain_mut(|(_, pending)| pending.is_pending());
-        if !leads(&cx) {
+        if !is_leader(&cx) {
             continue;
         }
-        for _ in 0..AT_ONCE {
+        for _ in 0..MAX_LOADS_PER_CHECK {
             let list: Vec<Asked> = asked.iter().map(|(a, _)| a.clone()).collect();
             let Some(found) = next(&cx, &list) else {
                 break;
@@ -54,7 +54,7 @@
                 .num("cost_ms", place.cost_ms as i64)
                 .num("gain_1000", (gain.unwrap_or_default() * 1000.0) as i64)
                 .write();
-            let Some(pending) = load::ask(&cx, &model, &place, PREFETCH_TIME, true) else {
+            let Some(pending) = load::request(&cx, &model, &place, PREFETCH_TTL, true) else {
                 break;
             };
             asked.push((
@@ -69,7 +69,7 @@
 }
 
 /// One entry makes these loads: the one with the least name among those that agents hear.
-fn leads(cx: &Context) -> bool {
+fn is_leader(cx: &Context) -> bool {
     let state = cx.state();
     let peers = state.peers.as_ref();
     peers.is_none_or(|(p, _)| p.least >= cx.settings.name)
--- a/crates/stair-relay/src/process.rs
+++ b/crates/stair-relay/src/process.rs
@@ -30,10 +30,10 @@
 };
 
 /// Time before the kill by which the process has ended on its own.
-const END_BEFORE_KILL: Duration = Duration::from_millis(400);
+const KILL_MARGIN: Duration = Duration::from_millis(400);
 
 /// Time for which a stopping entry still accepts connections: the balancer notices after two misses.
-const LISTEN_ON: Duration = Duration::from_millis(3500);
+const LISTEN_AFTER_STOP: Duration = Duration::from_millis(3500);
 
 /// Pause between looks whether all requests have been answered.
 const CHECK_INTERVAL: Duration = Duration::from_millis(50);
@@ -100,7 +100,7 @@
         tasks.spawn(serve::clients(cx.clone(), self.clients));
         // The sender lives as long as the process.
         let _ = stop.wait_for(|s| *s).await;
-        let last = Instant::now() + stop_within.saturating_sub(END_BEFORE_KILL);
+        let last = Instant::now() + stop_within.saturating_sub(KILL_MARGIN);
         cx.drain(last);
         Line::new("entry.stopping").write();
         finish(&cx, last).await;
@@ -150,8 +150,8 @@
 async fn finish(cx: &Context, last: Instant) {
     let begun = Instant::now();
     while Instant::now() < last {
-        let quiet = cx.serving() == 0;
-        if quiet && begun.elapsed() >= LISTEN_ON {
+        let idle = cx.serving() == 0;
+        if idle && begun.elapsed() >= LISTEN_AFTER_STOP {
             return;
         }
         sleep(CHECK_INTERVAL).await;
--- a/crates/stair-relay/src/select.rs
+++ b/crates/stair-relay/src/select.rs
@@ -35,15 +35,15 @@
     job::Job,
     load::{
         Loaded,
-        ask,
         load,
         load_at, //
         log_load,
+        request,
     },
     outage,
     prefill::{
         self,
-        Prompt,
+        PromptEstimate,
         Reservation,
         reserve, //
     },
@@ -158,17 +158,17 @@
             // Bounded by the deadline.
             Some(Loaded::Waited) => continue,
             Some(Loaded::Refused(key)) => search.refused.push(key),
-            Some(Loaded::Down) => {
-                outage::wait(cx, job, tried, outage_until).await;
+            Some(Loaded::EngineDown) => {
+                outage::wait_for_return(cx, job, tried, outage_until).await;
             }
             Some(Loaded::TooLate(retry_after)) => {
-                if !outage::wait(cx, job, tried, outage_until).await {
+                if !outage::wait_for_return(cx, job, tried, outage_until).await {
                     count_unserved(cx, job);
                     return Err(NoTarget { retry_after });
                 }
             }
             Some(Loaded::NoCapacity) => {
-                if !outage::wait(cx, job, tried, outage_until).await {
+                if !outage::wait_for_return(cx, job, tried, outage_until).await {
                     break;
                 }
             }
@@ -200,10 +200,10 @@
         ..search.reservation
     };
     match reserve(cx, job, at.key, &opts).await {
-        Reservation::Now(prompt) => {
+        Reservation::Granted(prompt) => {
             dispatch(cx, job, at, prompt, true).ok_or(NoTarget::after(Duration::ZERO))
         }
-        Reservation::Later => Err(NoTarget::after(Duration::ZERO)),
+        Reservation::Retry => Err(NoTarget::after(Duration::ZERO)),
         Reservation::Full(wait) => Err(NoTarget::after(wait)),
     }
 }
@@ -262,10 +262,10 @@
     let opts = search.reservation;
     search.reservation.first = false;
     match reserve(cx, job, at.key, &opts).await {
-        Reservation::Now(prompt) => {
+        Reservation::Granted(prompt) => {
             dispatch(cx, job, at, prompt, false).map_or(Step::Retry, Step::Selected)
         }
-        Reservation::Later => Step::Retry,
+        Reservation::Retry => Step::Retry,
         Reservation::Full(wait) if opts.full >= MAX_FULL => Step::SlotTooLate(wait),
         Reservation::Full(_) => {
             search.reservation.full += 1;
@@ -286,7 +286,7 @@
     {
         log_load(job, model, placement, "beside");
         // The next report tells what came of it.
-        if let Some(mut pending) = ask(cx, model, placement, REPLICA_TTL, true) {
+        if let Some(mut pending) = request(cx, model, placement, REPLICA_TTL, true) {
             pending.detach();
         }
     }
@@ -316,7 +316,7 @@
         model: job.model_of_engine().map(|(m, _)| m),
         adapter: job.meta.adapter.as_deref(),
         tokens: job.meta.prompt_tokens,
-        shared: job.shared,
+        shared: job.shared_prefix,
         data_centre: cx.settings.data_centre.as_str(),
         tried,
         salt: xxh3_64(job.meta.id.as_bytes()),
@@ -331,7 +331,7 @@
     cx: &Arc<Context>,
     job: &Job,
     at: choose::Outcome,
-    prompt: Prompt,
+    prompt: PromptEstimate,
     suspects: bool,
 ) -> Option<Selected> {
     let (addr, id, age) = {
@@ -354,7 +354,7 @@
         .text("target", &id)
         .show("addr", addr)
         .num("wait_ms", at.wait_ms as i64)
-        .num("kept", prompt.kept)
+        .num("kept", prompt.cached)
         .ms("reads_ms", prompt.reads)
         .ms(
             "report_age_ms",
--- a/crates/stair-relay/src/serve.rs
+++ b/crates/stair-relay/src/serve.rs
@@ -92,7 +92,7 @@
     let head_time = limits.idle_time.max(limits.head_time) + IDLE_SLACK;
     let service = service_fn(move |req| {
         let cx = cx.clone();
-        async move { Ok::<_, Infallible>(answer(cx, req).await) }
+        async move { Ok::<_, Infallible>(respond(cx, req).await) }
     });
     let conn = http1::Builder::new()
         .timer(TokioTimer::new())
@@ -103,7 +103,7 @@
     let _ = conn.await;
 }
 
-async fn answer(cx: Arc<Context>, req: Request<Incoming>) -> Response<Body> {
+async fn respond(cx: Arc<Context>, req: Request<Incoming>) -> Response<Body> {
     let mut resp = relay::serve(cx.clone(), req).await;
     if cx.draining() {
         let close = HeaderValue::from_static("close");
