--- a/crates/stair-relay/src/context.rs
+++ b/crates/stair-relay/src/context.rs
@@ -257,9 +257,13 @@
         let now = self.now();
         let (newly_unresponsive, unresponsive, id) = {
             let mut state = self.state();
-            let seen = state.view.get_mut(key);
-            let newly_unresponsive = seen.mark_quiet(OVERDUE_TIME, now);
-            (newly_unresponsive, seen.quiet, seen.target.id.clone())
+            let target_state = state.view.get_mut(key);
+            let newly_unresponsive = target_state.mark_quiet(OVERDUE_TIME, now);
+            (
+                newly_unresponsive,
+                target_state.quiet,
+                target_state.target.id.clone(),
+            )
         };
         if newly_unresponsive {
             self.report_unresponsive(&[id]);
--- a/crates/stair-relay/src/context/in_flight.rs
+++ b/crates/stair-relay/src/context/in_flight.rs
@@ -40,10 +40,10 @@
             names.extend(adapter.map(|a| format!("{model}/{a}").into()));
         }
         let mut state = cx.state();
-        let seen = state.view.get_mut(key);
-        seen.in_flight += 1;
-        seen.unread_tokens += tokens;
-        let engine = seen.target.addr;
+        let target_state = state.view.get_mut(key);
+        target_state.in_flight += 1;
+        target_state.unread_tokens += tokens;
+        let engine = target_state.target.addr;
         for name in &names {
             state.begin_use(engine, name);
         }
@@ -72,8 +72,8 @@
     pub fn read(&mut self) {
         let unread = std::mem::take(&mut self.unread);
         let mut state = self.cx.state();
-        let seen = state.view.get_mut(self.key);
-        seen.unread_tokens = seen.unread_tokens.saturating_sub(unread);
+        let target_state = state.view.get_mut(self.key);
+        target_state.unread_tokens = target_state.unread_tokens.saturating_sub(unread);
     }
 }
 
@@ -81,8 +81,8 @@
     fn drop(&mut self) {
         self.read();
         let mut state = self.cx.state();
-        let seen = state.view.get_mut(self.key);
-        seen.in_flight = seen.in_flight.saturating_sub(1);
+        let target_state = state.view.get_mut(self.key);
+        target_state.in_flight = target_state.in_flight.saturating_sub(1);
         for name in &self.names {
             state.end_use(self.engine, name);
         }
--- a/crates/stair-relay/src/crash.rs
+++ b/crates/stair-relay/src/crash.rs
@@ -63,10 +63,10 @@
 }
 
 impl Incarnation {
-    fn of(seen: &Seen) -> Self {
+    fn of(target_state: &Seen) -> Self {
         Self {
-            id: seen.target.id.clone(),
-            started: seen.target.started,
+            id: target_state.target.id.clone(),
+            started: target_state.target.started,
         }
     }
 }
@@ -212,12 +212,12 @@
     };
     let (incarnation, addr, first, ended) = {
         let mut state = cx.state();
-        let seen = state.view.get(key);
+        let target_state = state.view.get(key);
         // What a target cuts that leaves is not put down to its requests.
-        if seen.target.state != AnnouncedState::Ready {
+        if target_state.target.state != AnnouncedState::Ready {
             return;
         }
-        let (incarnation, addr) = (Incarnation::of(seen), seen.target.addr);
+        let (incarnation, addr) = (Incarnation::of(target_state), target_state.target.addr);
         let first = state.crashes.add(&incarnation, run, ending);
         let ended = state.crashes.has_ended(&incarnation);
         (incarnation, addr, first, ended)
@@ -278,12 +278,12 @@
                 .view
                 .all()
                 .find(|(_, s)| Incarnation::of(s) == *incarnation);
-            let Some((_, seen)) = found else {
+            let Some((_, target_state)) = found else {
                 return true;
             };
-            match seen.target.state {
+            match target_state.target.state {
                 AnnouncedState::Draining(_) => return false,
-                AnnouncedState::Ready if seen.fresh(now).is_some_and(|r| !r.load.alive) => {
+                AnnouncedState::Ready if target_state.fresh(now).is_some_and(|r| !r.load.alive) => {
                     return true;
                 }
                 AnnouncedState::Ready => {}
--- a/crates/stair-relay/src/dump.rs
+++ b/crates/stair-relay/src/dump.rs
@@ -143,17 +143,19 @@
     Some(catalogue.workspaces.as_ref()?.all().len())
 }
 
-fn target(seen: &Seen, now: Duration) -> TargetDump {
-    let report = seen.report.as_ref();
+fn target(target_state: &Seen, now: Duration) -> TargetDump {
+    let report = target_state.report.as_ref();
     TargetDump {
-        target: seen.target.clone(),
-        open: seen.open(now),
-        missing_for_ms: seen.missing_until.map(|t| ms(t.saturating_sub(now))),
-        suspect_for_ms: ms(seen.suspect_until.saturating_sub(now)),
-        in_flight: seen.in_flight,
-        unread_tokens: seen.unread_tokens,
-        failing: seen.failing,
-        delay_ms: seen.delay_ms,
+        target: target_state.target.clone(),
+        open: target_state.open(now),
+        missing_for_ms: target_state
+            .missing_until
+            .map(|t| ms(t.saturating_sub(now))),
+        suspect_for_ms: ms(target_state.suspect_until.saturating_sub(now)),
+        in_flight: target_state.in_flight,
+        unread_tokens: target_state.unread_tokens,
+        failing: target_state.failing,
+        delay_ms: target_state.delay_ms,
         report: report.map(|(r, _)| r.clone()),
         report_age_ms: report.map(|(_, at)| ms(now.saturating_sub(*at))),
     }
--- a/crates/stair-relay/src/relay.rs
+++ b/crates/stair-relay/src/relay.rs
@@ -337,11 +337,11 @@
     }
     let now = cx.now();
     let mut state = cx.state();
-    let seen = state.view.get_mut(key);
+    let target_state = state.view.get_mut(key);
     let mut stale_engine = None;
     match outcome {
         Outcome::NotSent(_) => {
-            seen.suspect_until = now + SUSPECT_TIME;
+            target_state.suspect_until = now + SUSPECT_TIME;
         }
         Outcome::NotRun {
             misdirected: true,
@@ -352,24 +352,24 @@
             match &job.meta.model {
                 // The target that was meant is gone, whatever the list still says.
                 _ if other => {
-                    seen.leave();
-                    stale_engine = Some(seen.target.addr);
+                    target_state.leave();
+                    stale_engine = Some(target_state.target.addr);
                 }
-                Some(model) => seen.lacks(model),
-                None => seen.learn(false),
+                Some(model) => target_state.lacks(model),
+                None => target_state.learn(false),
             }
         }
-        Outcome::NotRun { .. } => seen.learn(false),
+        Outcome::NotRun { .. } => target_state.learn(false),
         Outcome::Lost(_) | Outcome::Late => {
             attempts.ran += 1;
-            seen.learn(false);
+            target_state.learn(false);
         }
         Outcome::Head(live) => {
             attempts.ran += 1;
             if live.head.status.is_server_error() {
                 attempts.failures.add(key);
             } else {
-                seen.learn(true);
+                target_state.learn(true);
             }
         }
     }
--- a/crates/stair-relay/src/select.rs
+++ b/crates/stair-relay/src/select.rs
@@ -336,15 +336,19 @@
 ) -> Option<Selected> {
     let (addr, id, age) = {
         let state = cx.state();
-        let seen = state.view.get(at.key);
-        if !seen.takes(suspects, cx.now()) {
+        let target_state = state.view.get(at.key);
+        if !target_state.takes(suspects, cx.now()) {
             return None;
         }
-        let age = seen
+        let age = target_state
             .report
             .as_ref()
             .map(|(_, t)| cx.now().saturating_sub(*t));
-        (seen.target.addr, seen.target.id.clone(), age)
+        (
+            target_state.target.addr,
+            target_state.target.id.clone(),
+            age,
+        )
     };
     let model = job.model_of_engine().map(|(m, _)| m);
     let adapter = job.meta.adapter.as_deref();
@@ -378,12 +382,12 @@
     };
     let addr = {
         let state = cx.state();
-        let seen = state.view.get(key);
-        let held = seen.holds(cx.now()).model(model);
+        let target_state = state.view.get(key);
+        let held = target_state.holds(cx.now()).model(model);
         if held.is_some_and(|h| h.adapters.contains(adapter)) {
             return true;
         }
-        seen.target.addr
+        target_state.target.addr
     };
     let req = LoadRequest {
         seq: 0,
