--- a/crates/stair-relay/src/admit.rs
+++ b/crates/stair-relay/src/admit.rs
@@ -1,4 +1,4 @@
-//! Reads a request, checks it, and finds its route.
+//! Admits a request: reads and checks it, and finds its route.
 
 use std::{
     sync::{
@@ -71,21 +71,22 @@
     },
 };
 
-/// Retry-After of an entry without declarations; another entry may answer at once.
+/// Retry-After of an entry without a catalogue; another entry may serve the request at once.
 const STARTING_RETRY_AFTER: Duration = Duration::from_millis(300);
 
-/// Time that a stream may need. A stopping entry with less left rejects it: the end of the process would cut it.
+/// Time that a stream may need. A stopping entry with less time left rejects it, since the end of the process
+/// would truncate the response.
 const MIN_STREAM_DURATION: Duration = Duration::from_millis(4600);
 
-/// The same for other requests.
+/// The same for requests without a stream.
 const MIN_REQUEST_DURATION: Duration = Duration::from_millis(1200);
 
-/// Reads the request and finds its route.
+/// Reads the request, finds its route and charges its workspace.
 ///
 /// # Errors
 ///
-/// The refusal of one that is malformed, for no route, without a key that is in force, or comes too late to be
-/// served here.
+/// The refusal of a request that is malformed, has no route, carries no key in force, is quarantined, exceeds
+/// the quota of its workspace, or comes too late to be served by this process.
 pub async fn admit(
     cx: &Arc<Context>,
     req: Request<Incoming>,
@@ -186,8 +187,8 @@
         .write();
 }
 
-/// Refuses what different readers could understand differently: one hop would take the rest of such
-/// a body for another request, which no client sent.
+/// Refuses headers whose framing is ambiguous. Another hop could read the rest of such a body as a request
+/// that no client sent.
 fn check_framing(headers: &HeaderMap) -> Result<(), Refusal> {
     let malformed = Err(Refusal::not_run(Reason::Malformed, None));
     let both = headers.contains_key(TRANSFER_ENCODING) && headers.contains_key(CONTENT_LENGTH);
@@ -238,7 +239,7 @@
     }
 }
 
-/// Removes what concerns one connection only, and what a client may not set.
+/// Removes headers that concern one connection only, and those that a client must not set.
 fn strip(headers: &mut HeaderMap) {
     let named: Vec<HeaderName> = headers
         .get_all(CONNECTION)
@@ -271,7 +272,7 @@
     headers.remove("proxy-connection");
 }
 
-/// The parts of the prompt, each with a name for everything up to its end.
+/// The prefix blocks of the prompt, each named by a hash of everything up to its end.
 fn prefix_blocks(meta: &Meta) -> Vec<Part> {
     let mut chain = xxh3_64(format!("{:?}/{:?}", meta.model, meta.adapter).as_bytes());
     let part = |(id, tokens): &(u64, u64)| {
@@ -284,7 +285,7 @@
     meta.parts.iter().map(part).collect()
 }
 
-/// The part of the prompt that other requests share: all parts but the last.
+/// The prefix of the prompt that other requests share, all blocks but the last: its tokens and its hash.
 fn shared_prefix(meta: &Meta) -> Option<(u64, u64)> {
     let (_, head) = meta.parts.split_last()?;
     if head.is_empty() {
--- a/crates/stair-relay/src/assign.rs
+++ b/crates/stair-relay/src/assign.rs
@@ -1,4 +1,4 @@
-//! Finds a target at which a request may run now.
+//! Assigns a request to a target at which it may run now.
 
 use std::{
     sync::Arc,
@@ -29,25 +29,26 @@
     },
 };
 
-/// Time before the process's end at which waiting requests are rejected, for the rejections to arrive.
+/// Waiting requests are rejected this long before the process ends, so that the rejections arrive.
 const STOP_REFUSAL_MARGIN: Duration = Duration::from_millis(500);
 
-/// Time before its client leaves at which a waiting request is rejected: a round trip and the longest pause of a
-/// busy entry. Later, the client would not learn that it has not run.
+/// A waiting request is rejected this long before its client disconnects: a round trip and the longest pause
+/// of a busy entry. With a later rejection the client would not learn that the request has not run.
 const CLIENT_REFUSAL_MARGIN: Duration = Duration::from_millis(150);
 
-/// Pause before a suspect asks again whether it may run.
+/// Interval in which a suspect requests a trial.
 const TRIAL_RETRY_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Time that a suspect waits at one target. Each look for another reserves a prefill slot there.
+/// Time that a suspect waits at one target before another one is selected. It is not shorter, as each selection
+/// reserves a prefill slot.
 const TRIAL_TIMEOUT: Duration = Duration::from_millis(1000);
 
-/// No target gets the request.
+/// The request is not assigned to a target.
 #[derive(Debug, Clone, Copy)]
 pub struct NotAssigned {
-    /// Why.
+    /// The reason for the refusal.
     pub reason: Reason,
-    /// When to come back.
+    /// The delay after which a retry may succeed.
     pub retry_after: Duration,
 }
 
@@ -67,11 +68,11 @@
     }
 }
 
-/// Picks a target.
+/// Assigns the request to a target that is not in `excluded`.
 ///
 /// # Errors
 ///
-/// [`NotAssigned`] if no target can run it in time, or none may.
+/// [`NotAssigned`] if no target can run it in time, or the request is quarantined.
 pub async fn assign(
     cx: &Arc<Context>,
     job: &Job,
@@ -82,12 +83,12 @@
     let until = selection_deadline(job, after_event);
     tokio::select! {
         selected = select_permitted(cx, job, excluded, since, until) => selected,
-        // A request that waits for a model when the process ends would get no answer at all.
+        // A request that still waits when the process ends would get no response at all.
         () = cx.ending(STOP_REFUSAL_MARGIN) => Err(NotAssigned::no_target(STOPPING_RETRY_AFTER)),
     }
 }
 
-/// Picks a target at which the request may run now.
+/// Selects targets until the request may run at one of them.
 async fn select_permitted(
     cx: &Arc<Context>,
     job: &Job,
@@ -107,7 +108,7 @@
     }
 }
 
-/// Waits until the request may run at a target; `None` when it is better to look for another.
+/// Waits until the request may run at the target. Returns `None` when another target should be selected.
 async fn permit(
     cx: &Arc<Context>,
     job: &Job,
@@ -117,7 +118,7 @@
     let reselect_at = Instant::now() + TRIAL_TIMEOUT;
     loop {
         match quarantine::gate(cx, job, &selected.id).await {
-            // The target may have left meanwhile.
+            // The target may have announced its shutdown meanwhile.
             Gate::Open(_) if !cx.takes(selected.in_flight.key()) => return Ok(None),
             Gate::Open(trial) => {
                 job.set_on_trial(trial.is_some());
@@ -138,8 +139,8 @@
     }
 }
 
-/// When no target is looked for any longer. A request that waited on would find its client gone;
-/// one that is refused before may come back to a model that is there by then.
+/// The time until which a target is searched for. The client of a stream disconnects after it; a request that
+/// is refused before may be retried when the model has been loaded.
 pub fn selection_deadline(job: &Job, after_event: Option<u64>) -> Instant {
     if !job.route.stream || after_event.is_some() {
         return job.deadline;
--- a/crates/stair-relay/src/attempt.rs
+++ b/crates/stair-relay/src/attempt.rs
@@ -1,7 +1,7 @@
 //! Sends a request to a target once.
 //!
-//! Each attempt has a connection of its own. On a kept one a lost or crossed answer would leave open whether the request
-//! has run.
+//! Each attempt has a connection of its own. On a reused one, a lost response or the response to another
+//! request would leave open whether the request has run.
 
 use std::{
     net::SocketAddr,
@@ -34,38 +34,38 @@
     },
 };
 
-/// Time to open a connection. A lost packet is sent again after a second; another target is faster.
+/// Limit for opening a connection. A lost packet is sent again only after a second; another target is faster.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Longest head of a target's answer.
+/// Largest head of a target's response, in bytes.
 const MAX_HEAD_BYTES: usize = 64 << 10;
 
-/// Longest answer that is read as a whole.
+/// Largest response body that is buffered as a whole, in bytes.
 const MAX_BODY_BYTES: usize = 16 << 20;
 
-/// What came of an attempt.
+/// The outcome of an attempt.
 pub enum Outcome {
-    /// Nothing was sent.
+    /// Nothing was sent; the error.
     NotSent(Box<str>),
-    /// The target says that it has not run the request and will not.
+    /// The target states that it has not run the request and will not.
     NotRun {
-        /// Whether because it is another life of the target, or lacks the model.
+        /// Whether the reason is that it is another incarnation of the target, or lacks the model.
         misdirected: bool,
-        /// The life that answered, where it says so.
+        /// The incarnation that responded, if the response states it.
         instance: Option<Box<str>>,
-        /// The status it said so with.
+        /// The status of the response.
         status: u16,
     },
-    /// It may have run: the answer was lost, late, or not the target's.
+    /// The request may have run: the response was lost, or is not the target's; the error.
     Lost(Box<str>),
-    /// The time was up before the head of the answer.
+    /// The head of the response did not arrive in time; the request may have run.
     Late,
-    /// The head of the target's own answer.
+    /// The target itself responded.
     Head(LiveResponse),
 }
 
-/// An answer whose body is still to be read. Dropping it closes the connection, which makes the
-/// target stop its work.
+/// A response whose body has not been read. Dropping it closes the connection, which makes the target stop
+/// its work.
 pub struct LiveResponse {
     /// Status and headers.
     pub head: hyper::http::response::Parts,
@@ -81,7 +81,7 @@
     }
 }
 
-/// Sends `req`, which has the id `id`, and waits for the head of the answer.
+/// Sends `req`, which has the id `id`, and waits for the head of the response until `until`.
 pub async fn send(
     addr: SocketAddr,
     req: Request<Full<Bytes>>,
@@ -93,7 +93,7 @@
         Ok(Err(e)) => return Outcome::NotSent(e.to_string().into()),
         Err(_) => return Outcome::NotSent("no connection in time".into()),
     };
-    // Without it a small request may wait some milliseconds; it still arrives.
+    // Only a latency option: a small request may wait some milliseconds without it.
     let _ = stream.set_nodelay(true);
     let handshake = Builder::new()
         .max_buf_size(MAX_HEAD_BYTES)
@@ -142,11 +142,11 @@
 }
 
 impl LiveResponse {
-    /// Reads the next bytes, `None` at the end of a complete body.
+    /// Reads the next bytes of the body; `None` at the end of a complete one.
     ///
     /// # Errors
     ///
-    /// When the body was cut.
+    /// When the body was truncated.
     pub async fn chunk(&mut self) -> Result<Option<Bytes>, hyper::Error> {
         loop {
             match self.body.frame().await {
@@ -165,7 +165,7 @@
     ///
     /// # Errors
     ///
-    /// When it was cut, too long, or not there in time.
+    /// When the body was truncated, is too large, or was not complete in time.
     pub async fn collect(&mut self, until: Instant) -> Result<Bytes, Box<str>> {
         let mut all = Vec::new();
         loop {
--- a/crates/stair-relay/src/authorize.rs
+++ b/crates/stair-relay/src/authorize.rs
@@ -1,4 +1,4 @@
-//! Finds the workspace of a request by its key.
+//! Finds the workspace of a request by its API key.
 
 use std::time::Duration;
 
@@ -21,11 +21,12 @@
     },
 };
 
-/// When to come back with a key that is not known to an entry which hears no news of declarations: another
-/// entry may know it.
+/// Retry-After for an unknown key at an entry whose catalogue may be out of date: another entry may know the
+/// key.
 const LAGGING_RETRY_AFTER: Duration = Duration::from_millis(50);
 
-/// Finds the workspace of a request; `None` where none is needed and no known key is shown.
+/// Finds the workspace of a request. Returns `None` where no workspaces are declared, and for a missing,
+/// malformed or unknown key on an anonymous route.
 ///
 /// # Errors
 ///
@@ -47,7 +48,7 @@
     if found.is_some() || route.anonymous {
         return Ok(found);
     }
-    // A paying client whose key is new must not be told that it is wrong.
+    // A valid key that was declared recently must not be rejected as wrong.
     if reason == Reason::UnknownKey && !cx.follow.is_current() {
         return Err(Refusal::not_run(Reason::Lagging, Some(LAGGING_RETRY_AFTER)));
     }
--- a/crates/stair-relay/src/change.rs
+++ b/crates/stair-relay/src/change.rs
@@ -1,4 +1,4 @@
-//! Changes of the list of targets, as the store or a peer tells them.
+//! Changes of the list of targets, received from the store or a peer.
 
 use platform_adapter::{
     store::{
@@ -17,21 +17,21 @@
 };
 use stair_telemetry::event::Line;
 
-/// How soon a change of the list has to be known.
+/// How soon followers have to receive a change of the list.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Urgency {
-    /// It decides whether a target gets requests.
+    /// The change decides whether a target gets requests.
     Immediate,
-    /// It is about what a target holds.
+    /// The change is only about the inventory of a target.
     Deferred,
 }
 
 /// A change of the list of targets.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum TargetChange {
-    /// What a target announces.
+    /// The announcement of a target that is new or has changed.
     Put(Box<Target>),
-    /// The target of this id has left the list.
+    /// The target of this id was removed from the list.
     Removed(Box<str>),
 }
 
@@ -44,7 +44,8 @@
         }
     }
 
-    /// How soon it has to be known: what a target holds changes many times a second, and its agent tells that.
+    /// How soon followers have to receive the change. Inventories change many times a second, and agents
+    /// report them directly.
     pub fn urgency(&self, view: &View) -> Urgency {
         let Self::Put(new) = self else {
             return Urgency::Immediate;
@@ -65,15 +66,15 @@
             Change::Removed(id) => Self::Removed(id),
             Change::Put(object) => match decode(&object) {
                 Some(target) => Self::Put(Box::new(target)),
-                // Another writer has put itself in the target's place. Whether the target still takes
-                // requests is not known until it announces itself again.
+                // Another writer has overwritten the object. It is unknown whether the target takes requests
+                // until it announces itself again.
                 None => Self::Removed(object.name),
             },
         }
     }
 }
 
-/// Reads what a target announces; `None`, and a line, for what cannot be read.
+/// Decodes the announcement of a target. Returns `None`, and logs the error, if it is malformed.
 pub fn decode(object: &Object) -> Option<Target> {
     match target::decode(&object.name, &object.spec) {
         Ok(target) => Some(target),
--- a/crates/stair-relay/src/context.rs
+++ b/crates/stair-relay/src/context.rs
@@ -1,4 +1,4 @@
-//! What all parts of one entry share.
+//! The state that all modules of one entry share.
 
 mod agents;
 mod in_flight;
@@ -75,20 +75,20 @@
 pub use pending_load::PendingLoad;
 use usage::EngineUsage;
 
-/// One entry.
+/// The shared context of one entry.
 pub struct Context {
-    /// Its settings.
+    /// The settings at the start; [`Context::reload`] replaces some of them.
     pub settings: GatewaySettings,
     /// Counters and histograms.
     pub page: Page,
-    /// Notified at each change of the state.
+    /// Notified when the catalogue or the list of targets changes.
     pub changed: Notify,
-    /// Told when a target's VM is found to stand still.
+    /// Notified when the VM of a target is found to be unresponsive.
     pub unresponsive: Notify,
-    /// Who watches the store: this entry, or one that it follows.
+    /// Whether this entry watches the store or follows an entry that does.
     pub follow: Follow,
     started: Instant,
-    /// When the process ends, once the stop has begun.
+    /// The latest end of the process, once the stop has begun.
     ends_at: watch::Sender<Option<Instant>>,
     serving: AtomicUsize,
     reloadable: Mutex<ReloadableSettings>,
@@ -102,24 +102,24 @@
     retries: RetrySettings,
 }
 
-/// What an entry knows and is doing.
+/// The replicated state of an entry and its work in progress.
 #[derive(Default)]
 pub struct State {
     /// The catalogue in force, if one is known.
     pub catalogue: Option<Arc<Catalogue>>,
-    /// The targets.
+    /// The list of targets and the state of each.
     pub view: View,
     /// Links to agents, sorted by the engine's address.
     pub agents: Vec<AgentLink>,
-    /// What an agent said last of the other entries, and when.
+    /// The last report of an agent on the other entries, and the time of its receipt.
     pub peers: Option<(Peers, Duration)>,
-    /// Allowances of workspaces.
+    /// Quotas of workspaces.
     pub quotas: Quotas,
-    /// The agents that count for all entries.
+    /// The agents that count for all entries, by the name that they own.
     pub owners: Owners,
-    /// Requests that were cut lately.
+    /// Runs that were interrupted recently, by target.
     pub(crate) crashes: Crashes,
-    /// Requests that end targets.
+    /// Requests that are suspected to end targets, or are quarantined.
     pub(crate) quarantine: Quarantine,
     budgets: Vec<(Box<str>, Budget)>,
     usage: Vec<EngineUsage>,
@@ -130,28 +130,28 @@
 pub struct AgentLink {
     /// The engine's address.
     pub engine: SocketAddr,
-    /// The same as a text, by which entries agree on an order of agents.
+    /// The address as text. All entries order the agents by it.
     pub name: Box<str>,
     /// Whether the link is up.
     pub linked: bool,
-    /// Until when the agent is not asked about allowances, as it has not answered.
+    /// The agent is not used as an owner or for a ledger until then, since it did not reply in time.
     pub skipped_until: Duration,
     /// Messages to the agent.
     pub tx: mpsc::Sender<ToAgent>,
-    /// Entries that the agent hears, as it said last; 0 before it has.
+    /// The number of entries linked to the agent by its last report; 0 before the first.
     pub entries: u32,
-    /// The last life that the engine has said it is not.
+    /// The last incarnation that the engine has disowned.
     pub stale_incarnation: Option<Box<str>>,
-    /// How long prompts took to be read, that the agent has not been told.
+    /// Prefill durations that have not been reported to the agent.
     pub read: Vec<Read>,
-    /// Questions that wait for their answer.
+    /// Load requests that wait for a reply, by sequence number.
     pub pending_loads: Vec<(u64, oneshot::Sender<Outcome>)>,
-    /// Prompts that wait to be told their slot.
+    /// Requests for a prefill slot that wait for a reply, by sequence number.
     pub pending_slots: Vec<(u64, oneshot::Sender<Answer>)>,
 }
 
 impl Context {
-    /// Makes the context of an entry that knows nothing yet.
+    /// Returns the context of an entry without replicated state.
     pub fn new(settings: GatewaySettings) -> Self {
         let reloadable = ReloadableSettings {
             store: Store::new(settings.store),
@@ -172,7 +172,7 @@
         }
     }
 
-    /// Takes over what can change while the process runs.
+    /// Applies the settings that can change while the process runs.
     pub fn reload(&self, new: &GatewaySettings) {
         let mut reloadable = self.reloadable();
         reloadable.retries = new.retries;
@@ -198,7 +198,7 @@
         self.started.elapsed()
     }
 
-    /// Locks the state; never held across a wait.
+    /// Locks the state. The guard must not be held across an await.
     pub fn state(&self) -> MutexGuard<'_, State> {
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
@@ -208,7 +208,7 @@
         self.ends_at.borrow().is_some()
     }
 
-    /// Begins the stop; the process ends at the given time at the latest.
+    /// Begins the stop; the process ends at `ends_at` at the latest.
     pub fn drain(&self, ends_at: Instant) {
         self.ends_at.send_replace(Some(ends_at));
     }
@@ -219,7 +219,7 @@
         Some(ends_at?.saturating_duration_since(Instant::now()))
     }
 
-    /// Waits until the process is about to end, with so much time left.
+    /// Waits until `left` remains before the process ends.
     pub async fn ending(&self, left: Duration) {
         let mut rx = self.ends_at.subscribe();
         // The sender lives as long as the context.
@@ -234,14 +234,15 @@
         self.serving.load(Ordering::Relaxed)
     }
 
-    /// Whether new connections may be sent here: what is in force is known and no stop has begun.
+    /// Whether new connections may be sent here: the catalogue and the targets are known and no stop has
+    /// begun.
     pub fn ready(&self) -> bool {
         let state = self.state();
         !self.draining() && state.catalogue.is_some() && state.view.revision > 0
     }
 
-    /// Waits until operators have declared something. Before that no target can be used, and each look at
-    /// their list is a call of the store.
+    /// Waits for a catalogue. No target can be used without one, and each call of the store for their list is
+    /// charged.
     pub async fn declared(&self) {
         loop {
             let changed = self.changed.notified();
@@ -252,7 +253,7 @@
         }
     }
 
-    /// Takes in that an agent has not answered a question in time. Whether its VM is taken to stand still.
+    /// Records that an agent has not replied in time. Returns whether its VM counts as unresponsive.
     pub fn record_unanswered(&self, key: TargetKey) -> bool {
         let now = self.now();
         let (newly_unresponsive, unresponsive, id) = {
@@ -271,13 +272,13 @@
         unresponsive
     }
 
-    /// Whether a target takes requests by its own word.
+    /// Whether a target announces that it takes requests, even if it is suspect.
     pub(crate) fn takes(&self, key: TargetKey) -> bool {
         let now = self.now();
         self.state().view.get(key).takes(true, now)
     }
 
-    /// Tells of targets whose VMs were found to stand still.
+    /// Logs targets whose VMs were found to be unresponsive, and notifies those that wait for that.
     pub fn report_unresponsive(&self, ids: &[Box<str>]) {
         for id in ids {
             Line::failure("target.quiet").text("target", id).write();
@@ -287,7 +288,7 @@
         }
     }
 
-    /// Waits until the VM of one of these targets is found to stand still.
+    /// Waits until the VM of one of these targets is found to be unresponsive.
     pub async fn until_unresponsive(&self, keys: &[TargetKey]) {
         loop {
             let notified = self.unresponsive.notified();
@@ -298,7 +299,7 @@
         }
     }
 
-    /// Sets the gauges to what is so now.
+    /// Sets the gauges to the present state.
     pub fn gauges(&self) {
         let now = self.now();
         let state = self.state();
@@ -320,7 +321,7 @@
         set("requests_in_flight", self.serving());
     }
 
-    /// How far this entry's knowledge goes.
+    /// The versions of this entry's replicated state, for agents and peers.
     pub fn replication_state(&self) -> ReplicationState {
         let state = self.state();
         ReplicationState {
@@ -334,13 +335,13 @@
 }
 
 impl State {
-    /// A number for the next question to an agent.
+    /// Returns the sequence number of the next request to an agent.
     pub fn next_seq(&mut self) -> u64 {
         self.next_seq += 1;
         self.next_seq
     }
 
-    /// Takes from the list what engines have said they are not: the store may list it for some time.
+    /// Removes incarnations that engines have disowned; the store may still list them for some time.
     pub fn drop_stale_incarnations(&mut self) {
         for id in self
             .agents
@@ -351,7 +352,7 @@
         }
     }
 
-    /// Finds the link to an engine's agent.
+    /// The index of the link to an engine's agent.
     pub fn agent(&self, engine: SocketAddr) -> Option<usize> {
         self.agents.binary_search_by_key(&engine, |a| a.engine).ok()
     }
--- a/crates/stair-relay/src/context/agents.rs
+++ b/crates/stair-relay/src/context/agents.rs
@@ -27,16 +27,16 @@
 use crate::job::Job;
 
 impl Context {
-    /// Tells the agent at an address that its engine has said it is not this life.
+    /// Reports to the agent of an engine that the engine has disowned the incarnation `id`.
     pub fn report_stale_incarnation(&self, engine: SocketAddr, id: Box<str>) {
         let state = self.state();
         if let Some(i) = state.agent(engine) {
-            // An agent that does not read finds out by its own orders.
+            // A full queue may drop the message: the agent finds out by its own orders.
             let _ = state.agents[i].tx.try_send(ToAgent::Former(id));
         }
     }
 
-    /// Asks the agent of an engine for a model or adapter. `None` when there is no link.
+    /// Requests a model or adapter from the agent of an engine. Returns `None` when there is no link.
     pub fn request_load(
         self: &Arc<Self>,
         engine: SocketAddr,
@@ -64,12 +64,13 @@
         if let Some(i) = state.agent(engine) {
             let link = &mut state.agents[i];
             link.pending_loads.retain(|(s, _)| *s != seq);
-            // An agent that does not read forgets it when the link ends.
+            // A full queue may drop the message: the agent drops the request when the link ends.
             let _ = link.tx.try_send(ToAgent::Cancel(seq));
         }
     }
 
-    /// Takes in how long an engine took until the first event of a prompt, for its agent.
+    /// Records the time from sending a prompt to its first event, to be reported to the engine's agent.
+    /// `reads` is the agent's estimate, and 0 if it gave none.
     pub fn record_prefill(&self, key: TargetKey, job: &Job, reads: Duration, took: Duration) {
         let Some((model, _)) = job.model_of_engine().filter(|_| !reads.is_zero()) else {
             return;
@@ -85,7 +86,7 @@
         }
     }
 
-    /// Asks the agent of an engine for a prompt's prefill slot. `None` when there is no link.
+    /// Requests a prefill slot from the agent of an engine. Returns `None` when there is no link.
     pub fn reserve(&self, engine: SocketAddr, ask: Ask) -> Option<oneshot::Receiver<Answer>> {
         let mut state = self.state();
         let seq = state.next_seq();
--- a/crates/stair-relay/src/context/in_flight.rs
+++ b/crates/stair-relay/src/context/in_flight.rs
@@ -1,4 +1,4 @@
-//! Requests that count for as long as they are served, or in flight at a target.
+//! Guards that count requests while they are served, or in flight at a target.
 
 use std::{
     net::SocketAddr,
@@ -13,20 +13,19 @@
 use super::Context;
 use crate::quarantine::Trial;
 
-/// One request in flight at a target; it counts until this is dropped.
+/// A request in flight at a target; counted until it is dropped.
 pub struct InFlight {
     cx: Arc<Context>,
     key: TargetKey,
     engine: SocketAddr,
     names: Vec<Box<str>>,
     unread: u64,
-    /// Dropped with the flight, which ends the trial.
+    /// Dropping it ends the trial.
     _trial: Option<Box<Trial>>,
 }
 
 impl InFlight {
-    /// Notes that a request with so many prompt tokens goes to a target, for a model and perhaps
-    /// an adapter.
+    /// Counts a request with `tokens` prompt tokens at a target, for a model and possibly an adapter.
     pub fn begin(
         cx: Arc<Context>,
         key: TargetKey,
@@ -58,7 +57,7 @@
         }
     }
 
-    /// Has the trial of a suspect end with the flight.
+    /// Binds the trial of a suspect to this request.
     pub(crate) fn set_trial(&mut self, trial: Option<Trial>) {
         self._trial = trial.map(Box::new);
     }
@@ -68,7 +67,7 @@
         self.key
     }
 
-    /// Notes that the prompt has been read.
+    /// Records that the engine has finished the prefill of the prompt.
     pub fn read(&mut self) {
         let unread = std::mem::take(&mut self.unread);
         let mut state = self.cx.state();
@@ -89,11 +88,11 @@
     }
 }
 
-/// One request being served; it counts until this is dropped.
+/// A request being served; counted until it is dropped.
 pub struct Serving(Arc<Context>);
 
 impl Serving {
-    /// Counts one.
+    /// Counts a request.
     pub fn begin(cx: Arc<Context>) -> Self {
         cx.serving.fetch_add(1, Ordering::Relaxed);
         Self(cx)
--- a/crates/stair-relay/src/context/pending_load.rs
+++ b/crates/stair-relay/src/context/pending_load.rs
@@ -1,4 +1,4 @@
-//! A question to an agent, which is taken back when nobody waits for it any more.
+//! A load request to an agent that is cancelled when it is dropped before the reply.
 
 use std::{
     net::SocketAddr,
@@ -16,18 +16,18 @@
 
 use super::Context;
 
-/// A model or adapter that was asked for. Dropped before its answer, it is taken back.
+/// A pending request for a model or adapter. Dropping it before the reply cancels the request.
 pub struct PendingLoad {
     pub(super) cx: Arc<Context>,
     pub(super) engine: SocketAddr,
     pub(super) seq: u64,
     pub(super) rx: oneshot::Receiver<Outcome>,
-    /// Whether it is to be taken back.
+    /// Whether dropping this cancels the request.
     pub(super) cancel_on_drop: bool,
 }
 
 impl PendingLoad {
-    /// Waits for what comes of it; may be given up and waited for again.
+    /// Waits for the outcome. Cancel safe: it may be called again after the future was dropped.
     ///
     /// # Errors
     ///
@@ -38,13 +38,13 @@
         outcome
     }
 
-    /// Whether it is neither answered nor lost.
+    /// Whether neither a reply has come nor the link has ended.
     pub fn is_pending(&mut self) -> bool {
         self.cancel_on_drop = matches!(self.rx.try_recv(), Err(TryRecvError::Empty));
         self.cancel_on_drop
     }
 
-    /// Lets it stand although nobody waits for its answer here.
+    /// Keeps the load going when this is dropped.
     pub fn detach(&mut self) {
         self.cancel_on_drop = false;
     }
--- a/crates/stair-relay/src/context/retries.rs
+++ b/crates/stair-relay/src/context/retries.rs
@@ -21,7 +21,7 @@
         state.budgets[i].1.request(now);
     }
 
-    /// Takes a retry from this entry's share of the budget, and tells whether it may be made.
+    /// Takes a retry from this entry's share of the budget. Returns whether it may be made.
     pub fn may_retry(&self, service: &str) -> bool {
         let now = self.now();
         let allowed = {
@@ -37,8 +37,8 @@
         allowed
     }
 
-    /// Finds the retries of a service. What bounds them is looked up for a retry, and not for each
-    /// request: it is the largest word of all agents.
+    /// Finds the budget of a service. Its options are computed for each retry rather than each request, as
+    /// the number of entries is the maximum over the reports of all agents.
     fn budget(&self, state: &mut State, service: &str) -> usize {
         let found = state
             .budgets
@@ -60,7 +60,7 @@
         }
     }
 
-    /// The number of entries that share what holds for all of them together.
+    /// The number of entries among which limits for all entries are divided.
     pub fn entries(&self) -> u32 {
         let expected = self.reloadable().retries.entries;
         self.state().entries(expected)
@@ -73,7 +73,7 @@
         budget::entries(expected, counts)
     }
 
-    /// The retries of each service.
+    /// The retry budget of each service.
     pub fn budgets(&self) -> impl Iterator<Item = (&str, &Budget)> {
         self.budgets.iter().map(|(service, b)| (&**service, b))
     }
--- a/crates/stair-relay/src/context/usage.rs
+++ b/crates/stair-relay/src/context/usage.rs
@@ -1,4 +1,4 @@
-//! What this entry has sent to each engine, for the engines' agents.
+//! Requests that this entry has sent to each engine, reported to the engines' agents.
 
 use std::net::SocketAddr;
 
@@ -9,7 +9,7 @@
 
 use super::State;
 
-/// Use of a model, or an adapter as `MODEL/NAME`, at one engine by this entry.
+/// Use of a model, or of an adapter as `MODEL/NAME`, at one engine by this entry.
 pub(super) struct EngineUsage {
     engine: SocketAddr,
     used: Used,
@@ -17,7 +17,7 @@
 }
 
 impl State {
-    /// Notes that a request goes to an engine.
+    /// Counts a request that is sent to an engine.
     pub(super) fn begin_use(&mut self, engine: SocketAddr, name: &str) {
         let found = self
             .usage
@@ -49,13 +49,14 @@
         }
     }
 
-    /// Takes how long prompts took to be read at an engine since its agent was told.
+    /// Takes the prefill durations at an engine that have not been reported to its agent.
     pub fn take_read(&mut self, engine: SocketAddr) -> Vec<Read> {
         let i = self.agent(engine);
         i.map_or_else(Vec::new, |i| std::mem::take(&mut self.agents[i].read))
     }
 
-    /// Takes what an engine's agent has not been told yet; all of it for a new link.
+    /// Takes the use that has not been reported to an engine's agent; with `whole`, all of it, for a new
+    /// link.
     pub fn take_used(&mut self, engine: SocketAddr, whole: bool) -> Vec<Used> {
         let mut out = Vec::new();
         for u in self.usage.iter_mut().filter(|u| u.engine == engine) {
--- a/crates/stair-relay/src/crash.rs
+++ b/crates/stair-relay/src/crash.rs
@@ -1,8 +1,9 @@
-//! Finds out which requests were on a target when it ended.
+//! Determines which requests were running on a target when it ended.
 //!
-//! A connection that is cut does not tell whether its target has ended. A target has ended when its address refuses
-//! connections, when its agent finds it dead, or when the store's list lacks it although it has not said that it leaves.
-//! A client that leaves tells nothing at all: the target is watched for a moment.
+//! An interrupted connection does not show whether its target has ended. A target has ended when its address
+//! refuses connections, when its agent reports it dead, or when the list lacks it although it has not
+//! announced its shutdown. A client that disconnects gives no sign at all, so the target is watched for some
+//! time.
 
 use std::{
     net::SocketAddr,
@@ -37,25 +38,28 @@
     quarantine, //
 };
 
-/// When the target's address is tried after a cut; the second time is for one that closes its connections first.
+/// Delays after an interruption at which the target's address is probed. The second probe is for a target
+/// that closes its connections before its listener.
 const PROBE_DELAYS: [Duration; 2] = [Duration::from_millis(20), Duration::from_millis(250)];
 
-/// Time for the address to refuse a connection.
+/// Limit for the address to refuse a connection.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// Pause between looks at the list.
+/// Interval of the checks of the list.
 const CHECK_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Time after a cut in which its target may be found to have ended: three heartbeats, and the store's word of it.
+/// Time after an interruption in which its target may be found to have ended: three heartbeats, and the delay
+/// of the store.
 const WATCH_WINDOW: Duration = Duration::from_secs(6);
 
-/// The same after a client has left: its request hardly ends a target that has stood that long.
+/// The same after a client has disconnected: its request hardly ends a target that has kept running that
+/// long.
 const CLIENT_LEFT_WINDOW: Duration = Duration::from_millis(1500);
 
-/// Cut requests that are kept of one target; it runs no more at once.
+/// Limit of the interrupted runs recorded for one target, which does not run more at once.
 const MAX_RUNS: usize = 512;
 
-/// One life of a target.
+/// One incarnation of a target.
 #[derive(Debug, Clone, PartialEq, Eq)]
 struct Incarnation {
     id: Box<str>,
@@ -71,7 +75,7 @@
     }
 }
 
-/// Requests that were cut lately, by target.
+/// Runs that were interrupted recently, by incarnation of the target.
 #[derive(Default)]
 pub(crate) struct Crashes {
     interrupted: Vec<InterruptedRuns>,
@@ -82,14 +86,14 @@
     runs: Vec<Run>,
     /// Whether the target is known to have ended.
     ended: bool,
-    /// Whether its address is tried.
+    /// Whether its address has been probed.
     probed: bool,
-    /// Until when it is watched.
+    /// The end of the watch.
     until: Instant,
 }
 
 impl Crashes {
-    /// Adds a request, and tells whether its target has to be watched for it.
+    /// Adds a run. Returns whether its target has to be watched for it.
     fn add(&mut self, incarnation: &Incarnation, run: Run, ending: Ending) -> bool {
         let found = self
             .interrupted
@@ -119,7 +123,7 @@
         first && !interrupted.ended
     }
 
-    /// Takes what was cut at a target that has ended, from now on too.
+    /// Takes the runs interrupted at a target, and records that the target has ended.
     fn take_ended(&mut self, incarnation: &Incarnation) -> Vec<Run> {
         let interrupted = self
             .interrupted
@@ -143,12 +147,12 @@
     }
 }
 
-/// Ending a request has ended that may have ended its target.
+/// How a run ended that may have ended its target.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Ending {
-    /// Its connection was cut, or its answer was late.
+    /// The connection was interrupted, or the response was late.
     Interrupted,
-    /// Its client has left.
+    /// The client has disconnected.
     ClientLeft,
 }
 
@@ -161,7 +165,8 @@
     }
 }
 
-/// A request at a target that has not answered yet. Dropped before that, its client has left.
+/// A run without a response so far. Dropping it without [`finish`](Self::finish) means that the client has
+/// disconnected.
 pub(crate) struct UnansweredRun<'a> {
     cx: &'a Arc<Context>,
     job: &'a Job,
@@ -179,7 +184,7 @@
         }
     }
 
-    /// Notes that the target has answered, or will not.
+    /// Records that the target has responded, or will not.
     pub(crate) fn finish(mut self) {
         self.answered = true;
     }
@@ -193,8 +198,8 @@
     }
 }
 
-/// Notes that a request was cut, or got no answer in time, at a target that may have ended.
-/// Its answer began at `begun`, if it did.
+/// Records that a run was interrupted, or got no response in time, at a target that may have ended. `begun`
+/// is when its response began, if it did.
 pub(crate) fn record_interrupted(
     cx: &Arc<Context>,
     job: &Job,
@@ -213,7 +218,7 @@
     let (incarnation, addr, first, ended) = {
         let mut state = cx.state();
         let target_state = state.view.get(key);
-        // What a target cuts that leaves is not put down to its requests.
+        // Interruptions by a target that shuts down are not attributed to its requests.
         if target_state.target.state != AnnouncedState::Ready {
             return;
         }
@@ -240,7 +245,7 @@
     }
 }
 
-/// Watches a target that a request may have ended.
+/// Watches a target that a run may have ended.
 async fn watch(cx: Arc<Context>, incarnation: Incarnation, addr: SocketAddr, ending: Ending) {
     let begun = Instant::now();
     let until = begun + ending.watch_window();
@@ -248,7 +253,7 @@
     if refused || is_lost(&cx, &incarnation, until).await {
         report(&cx, &incarnation, addr);
     }
-    // Requests that come later are still reported.
+    // Runs interrupted later at this target are still reported.
     sleep_until(until).await;
     cx.state().crashes.remove_expired();
 }
@@ -267,8 +272,8 @@
     false
 }
 
-/// Waits until the list lacks the target or its agent finds it dead. Returns false when it says that it leaves, or
-/// stays until then.
+/// Waits until the list lacks the target or its agent reports it dead. Returns false when the target
+/// announces its shutdown, or still runs at `until`.
 async fn is_lost(cx: &Context, incarnation: &Incarnation, until: Instant) -> bool {
     while Instant::now() < until {
         {
@@ -294,7 +299,7 @@
     false
 }
 
-/// Tells which requests were on a target that has ended.
+/// Reports the runs that were interrupted on a target that has ended.
 fn report(cx: &Arc<Context>, incarnation: &Incarnation, addr: SocketAddr) {
     let runs = cx.state().crashes.take_ended(incarnation);
     let names: Vec<String> = runs.iter().map(|r| r.fingerprint.to_string()).collect();
--- a/crates/stair-relay/src/dump.rs
+++ b/crates/stair-relay/src/dump.rs
@@ -1,4 +1,4 @@
-//! The state of an entry as the operator sees it.
+//! The state dump of an entry for operators.
 
 use std::time::Duration;
 
@@ -21,7 +21,7 @@
     State, //
 };
 
-/// Everything that an entry knows and is doing. Times are in milliseconds.
+/// The state of an entry. Times are in milliseconds.
 #[derive(Debug, Clone, Serialize)]
 pub struct Dump {
     name: Box<str>,
@@ -29,15 +29,15 @@
     stopping: bool,
     /// The version of the catalogue in force, 0 for none.
     catalogue: u64,
-    /// Declared workspaces; without them requests need no key.
+    /// The number of declared workspaces; `None` if requests need no key.
     workspaces: Option<usize>,
-    /// Workspaces that have used their allowances up, and for how long yet, by the last answers.
+    /// The workspaces that are overdrawn by the last replies, and the remaining time.
     owing: Vec<(Box<str>, u64)>,
     /// The store's revision up to which the list of targets is complete, 0 for none.
     targets_revision: u64,
     targets: Vec<TargetDump>,
     agents: Vec<AgentDump>,
-    /// What an agent said last of the other entries, and how long ago.
+    /// The last report of an agent on the other entries, and its age.
     peers: Option<(Peers, u64)>,
     /// Whether another entry watches the store for this one.
     follows: bool,
@@ -52,11 +52,11 @@
 struct TargetDump {
     #[serde(flatten)]
     target: Target,
-    /// Whether it gets requests now.
+    /// Whether the target gets requests now.
     open: bool,
-    /// How much longer its announcement is waited for, if the list lacks it.
+    /// The remaining time to wait for its announcement, if the list lacks it.
     missing_for_ms: Option<u64>,
-    /// How much longer it is left out after a failed connection.
+    /// The remaining time for which it is excluded after a failed connection.
     suspect_for_ms: u64,
     in_flight: u32,
     unread_tokens: u64,
@@ -75,7 +75,7 @@
     prefills_waiting: usize,
 }
 
-/// Retries for one service.
+/// The retry budget of one service.
 #[derive(Debug, Clone, Serialize)]
 struct RetriesDump {
     service: Box<str>,
@@ -86,13 +86,13 @@
 /// One request that is suspected to end targets.
 #[derive(Debug, Clone, Serialize)]
 struct QuarantineDump {
-    /// As in the logs.
+    /// The same text as in the logs.
     fingerprint: String,
-    /// How much longer it is not run; 0 for a suspect.
+    /// The remaining time of its quarantine; 0 for a suspect.
     held_for_ms: u64,
 }
 
-/// Takes the state as it is now.
+/// Captures the present state.
 pub fn dump(cx: &Context) -> Dump {
     let now = cx.now();
     let state = cx.state();
--- a/crates/stair-relay/src/failures.rs
+++ b/crates/stair-relay/src/failures.rs
@@ -1,4 +1,4 @@
-//! Failures of one request by targets' own word, until it is known what they are put down to.
+//! Failures of one request that targets reported themselves, until they are attributed.
 
 use std::sync::Arc;
 
@@ -16,7 +16,7 @@
     job::Job, //
 };
 
-/// The failures of one request that do not count against a target yet. They do at the latest when this is dropped.
+/// The failures of one request that have not been attributed to targets. Dropping this attributes them.
 pub struct Failures {
     cx: Arc<Context>,
     id: Box<str>,
@@ -24,7 +24,7 @@
 }
 
 impl Failures {
-    /// Makes an empty list for a request.
+    /// Returns an empty list for a request.
     pub fn new(cx: &Arc<Context>, job: &Job) -> Self {
         Self {
             cx: cx.clone(),
@@ -33,12 +33,12 @@
         }
     }
 
-    /// Notes that a target ran the request and failed it by its own word.
+    /// Records that a target ran the request and reported a failure.
     pub fn add(&mut self, key: TargetKey) {
         self.keys.push(key);
     }
 
-    /// Notes that another target served it.
+    /// Records that another target served the request.
     pub fn served(&mut self) {
         self.attribute(true);
     }
--- a/crates/stair-relay/src/follow.rs
+++ b/crates/stair-relay/src/follow.rs
@@ -1,10 +1,10 @@
-//! Replicates the store's changes from the one entry of the data centre that watches it.
+//! Replicates changes of the store from the entry of the data centre that watches it.
 //!
-//! Load: many entries that would each watch a list which changes many times a second.
+//! The list of targets changes many times a second; one watch for each entry would load the store.
 //!
-//! Agents name the watcher: the entry with the least name in the data centre. A follower that receives nothing for
-//! a while watches by itself until it can follow again. A watcher serves followers only while its own calls to the
-//! store are answered in time.
+//! Agents report the watcher: the entry with the least name in the data centre. A follower that receives
+//! nothing in time watches by itself until it can follow again. A watcher serves followers only while the
+//! store replies to its own calls in time.
 
 use std::{
     sync::{
@@ -56,58 +56,59 @@
     replicate,
 };
 
-/// Time to open a connection to the entry that watches.
+/// Limit for connecting to the watcher.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Time without a message after which a watcher is not followed any longer: three heartbeats.
+/// Time without a message after which a watcher is no longer followed: three heartbeats.
 const SILENCE_TIMEOUT: Duration = Duration::from_millis(750);
 
-/// Pause between heartbeats while there is nothing to tell.
+/// Interval of heartbeats while nothing changes.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Pause before an entry is followed again.
+/// Pause before the watcher is followed again.
 const RECONNECT_PAUSE: Duration = Duration::from_millis(1000);
 
-/// Time beyond that of a watch within which the store has to answer it.
+/// Time beyond the duration of a watch within which the store has to reply to it.
 const REPLY_SLACK: Duration = Duration::from_millis(300);
 
-/// Pause between reports of what targets hold, which their agents report at once.
+/// Interval in which followers are sent the inventories of targets, which agents report directly.
 const INVENTORY_INTERVAL: Duration = Duration::from_millis(4000);
 
-/// Changes that wait for one follower; one that has missed some begins anew.
+/// Capacity of the queue of changes to one follower; a follower that misses changes starts again with the
+/// whole list.
 const QUEUE: usize = 64;
 
-/// What an entry watches.
+/// A part of the state that an entry watches.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Watched {
-    /// What operators declare.
+    /// The catalogue that operators declare.
     Catalogue,
     /// The list of targets.
     Targets,
 }
 
-/// What has changed, for the connections of followers.
+/// A change of the replicated state, published to the connections of followers.
 #[derive(Debug, Clone)]
 pub enum StateChange {
     /// Another catalogue is in force.
     Catalogue,
     /// The whole list of targets was replaced.
     Whole,
-    /// Changes of the list, and the revision that it is complete up to.
+    /// Changes of the list, and the store's revision up to which the list is then complete.
     Changes(Arc<[TargetChange]>, u64),
 }
 
-/// What an entry tells those that follow it.
+/// A message to a follower.
 #[derive(Debug, Serialize, Deserialize)]
 enum Update {
     Catalogue(Catalogue),
     Whole(Vec<Listed>, u64),
     Changes(Vec<TargetChange>, u64),
-    /// Nothing is new.
+    /// A heartbeat without changes.
     Alive,
 }
 
-/// Whether this entry follows another, and what it tells those that follow it.
+/// Whether this entry follows another one, and the changes for its own followers.
 pub struct Follow {
     follows: watch::Sender<bool>,
     updates: broadcast::Sender<StateChange>,
@@ -115,9 +116,9 @@
 }
 
 struct State {
-    /// Until when the store's next word on each watched is on time; `None` after a call that failed.
+    /// The time by which the store's next reply is due, indexed by [`Watched`]; `None` after a failed call.
     reply_due: [Option<Instant>; 2],
-    /// The last words of what targets hold that have not been told, by id.
+    /// The last deferred change of each target that has not been sent.
     deferred: Vec<TargetChange>,
     deferred_sent_at: Instant,
 }
@@ -137,18 +138,18 @@
 }
 
 impl Follow {
-    /// Whether this entry hears the store's news from another one.
+    /// Whether this entry follows another one at present.
     pub fn follows(&self) -> bool {
         *self.follows.borrow()
     }
 
     /// Waits until this entry has to watch the store itself.
     pub async fn until_not_following(&self) {
-        // The sender lives as long as this.
+        // The sender outlives this wait.
         let _ = self.follows.subscribe().wait_for(|f| !*f).await;
     }
 
-    /// The time of a watch: another one while others follow.
+    /// The duration of a watch: `followed` while other entries follow this one, otherwise `alone`.
     pub fn watch_duration(&self, alone: Duration, followed: Duration) -> Duration {
         match self.updates.receiver_count() {
             0 => alone,
@@ -156,27 +157,28 @@
         }
     }
 
-    /// Notes that the store's next word on a watched is due within a time: a watch has begun, or will after a
+    /// Records that the store's next reply is due within `within`: a watch has begun, or begins after a
     /// pause.
     pub fn expect_reply(&self, watched: Watched, within: Duration) {
         self.state().reply_due[watched as usize] = Some(Instant::now() + within + REPLY_SLACK);
     }
 
-    /// Notes that a call for a watched has failed.
+    /// Records that a call of the store has failed.
     pub fn record_failure(&self, watched: Watched) {
         self.state().reply_due[watched as usize] = None;
     }
 
-    /// Tells followers.
+    /// Publishes a change to followers.
     pub fn publish(&self, change: StateChange) {
-        // Nobody follows when this fails.
+        // An error means that there are no followers.
         let _ = self.updates.send(change);
     }
 
-    /// Tells followers of changes, in their order; the minor ones only now and then.
+    /// Publishes changes to followers in order. Deferred changes are published at intervals of
+    /// [`INVENTORY_INTERVAL`].
     ///
-    /// A minor word that waits is dropped when a later one comes for its target. Told after that, it would
-    /// bring back a target that has said that it leaves, and requests sent there would be cut.
+    /// A deferred change is dropped when a later one arrives for its target. Sent after the later change, it
+    /// would restore a target that has announced its shutdown, and requests sent there would be interrupted.
     pub fn changed(&self, changes: Vec<(TargetChange, Urgency)>, revision: u64) {
         let mut state = self.state();
         if self.updates.receiver_count() == 0 {
@@ -199,14 +201,14 @@
         self.publish(StateChange::Changes(update.into(), revision));
     }
 
-    /// Whether what operators declared lately is known here: the store's word on it, or that of the entry that
-    /// is followed, is on time.
+    /// Whether the catalogue is up to date here: the store or the watcher that is followed has replied in
+    /// time.
     pub fn is_current(&self) -> bool {
         let due = self.state().reply_due[Watched::Catalogue as usize];
         self.follows() || due.is_some_and(|t| Instant::now() < t)
     }
 
-    /// Whether others may rely on what this entry knows.
+    /// Whether other entries may follow this one: it watches by itself, and the store replies in time.
     fn is_authoritative(&self) -> bool {
         let now = Instant::now();
         let reply_due = self.state().reply_due;
@@ -218,7 +220,7 @@
     }
 }
 
-/// Follows the entry that watches the store, for as long as the process runs.
+/// Follows the entry that watches the store, until the process ends.
 pub async fn keep(cx: Arc<Context>) {
     loop {
         if let Some(peer) = watcher(&cx) {
@@ -243,7 +245,7 @@
         .filter(|p| p.entry != cx.settings.name)
 }
 
-/// Why a peer is not followed any longer.
+/// Why a peer is no longer followed.
 #[derive(Debug, thiserror::Error)]
 enum Ended {
     #[error("no connection")]
@@ -254,7 +256,7 @@
     Frame(#[from] frame::Error),
 }
 
-/// Takes in what a peer tells, until it tells nothing more.
+/// Applies the updates of a peer until the connection ends or is silent.
 async fn receive(cx: &Arc<Context>, peer: &Peer) -> Ended {
     let Ok(Ok(mut stream)) = timeout(CONNECT_TIMEOUT, TcpStream::connect(peer.addr)).await else {
         return Ended::NotOpened;
@@ -287,8 +289,8 @@
     }
 }
 
-/// Tells one follower all that is newer than what it has, and then what is new, for as long as this entry
-/// vouches for it.
+/// Sends one follower the state that is newer than its own, and then all changes while this entry is
+/// authoritative.
 pub async fn serve(cx: &Context, known: &Versions, mut w: OwnedWriteHalf) {
     let mut updates = cx.follow.updates.subscribe();
     let mut next = initial_updates(cx, known);
@@ -305,7 +307,7 @@
             Ok(Ok(StateChange::Changes(changes, revision))) => {
                 vec![Update::Changes(changes.to_vec(), revision)]
             }
-            // It has missed some, and begins anew.
+            // The follower has missed changes; it reconnects and gets the whole list.
             Ok(Err(_)) => return,
         };
     }
--- a/crates/stair-relay/src/job.rs
+++ b/crates/stair-relay/src/job.rs
@@ -1,4 +1,4 @@
-//! One request on its way, and the request of each attempt.
+//! A request being relayed, and the request of each attempt.
 
 use std::{
     sync::{
@@ -51,36 +51,36 @@
     quota::Grant,
 };
 
-/// The engine's rank of the most urgent requests, of 0 to 9.
+/// The rank that engines get for the most urgent requests, on their scale of 0 to 9.
 const FIRST_RANK: u8 = 3;
 
-/// One request on its way.
+/// A request being relayed.
 pub struct Job {
-    /// What the client sent along.
+    /// The request's metadata from its headers.
     pub meta: Meta,
-    /// Its route, as the catalogue had it when the request came.
+    /// Its route in the catalogue in force on arrival.
     pub route: Route,
-    /// The workspace that it is for, where workspaces are declared.
+    /// The workspace whose key it carries, if workspaces are declared.
     pub workspace: Option<Workspace>,
-    /// What it has taken from its workspace's allowance.
+    /// Its charge on the quota of its workspace.
     pub grant: Option<Grant>,
-    /// The service that was picked.
+    /// The service that the route selected.
     pub service: Box<str>,
-    /// The catalogue that was in force when the request came.
+    /// The catalogue in force on arrival.
     pub(crate) catalogue: Arc<Catalogue>,
-    /// Tokens of the prompt's head that other requests share, and its hash.
+    /// The number of tokens in the prefix that other requests share, and the hash of that prefix.
     pub shared_prefix: Option<(u64, u64)>,
-    /// The parts of its prompt.
+    /// The prefix blocks of its prompt.
     pub prefix_blocks: Vec<Part>,
-    /// The shortest objective of more urgent requests to the service, which go first.
+    /// The shortest objective of more urgent requests to the service, which are served first.
     pub more_urgent: Option<Duration>,
-    /// The shortest pause between events that clients of the service's streams are promised.
+    /// The shortest pause between events that the service's routes promise to clients of streams.
     pub shortest_pause: Option<Duration>,
-    /// When it came.
+    /// Time of arrival.
     pub received: Instant,
-    /// When it has to be answered.
+    /// Time by which the response has to be complete.
     pub deadline: Instant,
-    /// Taken when it is first needed.
+    /// Computed on first use.
     pub(crate) fingerprint: OnceLock<Fingerprint>,
     pub(crate) on_trial: AtomicBool,
     pub(crate) method: Method,
@@ -91,7 +91,7 @@
 }
 
 impl Job {
-    /// The model and the engines that can run it, if the service runs models.
+    /// The model and the declaration of the engines that can run it, if the service runs models.
     pub fn model_of_engine(&self) -> Option<(&str, &Engine)> {
         Some((self.meta.model.as_deref()?, self.engine()?))
     }
@@ -100,19 +100,19 @@
         self.catalogue.service(&self.service)?.engine.as_ref()
     }
 
-    /// How urgent it is, 0 first: its workspace's rank goes before its route's.
+    /// Its urgency, 0 for the most urgent. The rank of its workspace overrides that of its route.
     pub fn rank(&self) -> u8 {
         rank(&self.route, self.workspace.as_ref())
     }
 
-    /// What identifies it among all requests; its repeats have the same.
+    /// Identifies the request by its content; a repetition has the same fingerprint.
     pub(crate) fn fingerprint(&self) -> Fingerprint {
         *self
             .fingerprint
             .get_or_init(|| self.contents().fingerprint())
     }
 
-    /// Notes whether its next attempt is a trial.
+    /// Sets whether its next attempt is a trial.
     pub(crate) fn set_on_trial(&self, on_trial: bool) {
         self.on_trial.store(on_trial, Ordering::Relaxed);
     }
@@ -122,7 +122,7 @@
         self.on_trial.load(Ordering::Relaxed)
     }
 
-    /// A hash of all but the body's bytes.
+    /// A hash of the request without the bytes of its body.
     pub(crate) fn outline(&self) -> Outline {
         self.contents().outline()
     }
@@ -145,14 +145,14 @@
         }
     }
 
-    /// Notes whether it may have run.
+    /// Sets whether a target may have run it, in which case its charge is not refunded.
     pub fn set_may_have_run(&self, may_have_run: bool) {
         if let Some(grant) = &self.grant {
             grant.set_may_have_run(may_have_run);
         }
     }
 
-    /// Makes the request for one attempt.
+    /// Builds the request for one attempt at the target `instance`, resuming after `after_event`.
     pub fn request(&self, instance: &str, after_event: Option<u64>) -> Request<Full<Bytes>> {
         let mut headers = self.headers.clone();
         let rank = self
@@ -167,7 +167,7 @@
             after_event,
         };
         request::encode(&mut headers, &attempt);
-        // A method that usually has a body gets a length also when it is empty.
+        // Servers expect a length from methods that usually have a body, also when it is empty.
         if self.body.is_empty() && self.method != Method::GET {
             headers.insert(CONTENT_LENGTH, HeaderValue::from(0));
         }
@@ -179,7 +179,7 @@
     }
 }
 
-/// The rank of a request on a route for a workspace.
+/// The rank of a request on a route for a workspace, 0 for the most urgent.
 pub(crate) fn rank(route: &Route, workspace: Option<&Workspace>) -> u8 {
     workspace.and_then(|w| w.rank).unwrap_or(route.rank)
 }
--- a/crates/stair-relay/src/lib.rs
+++ b/crates/stair-relay/src/lib.rs
@@ -1,18 +1,23 @@
-//! The entry in front of targets that announce themselves in the store.
+//! The entry: relays requests of clients to targets that announce themselves in the store.
 //!
-//! The path of a request: [`serve`] accepts it, [`admit`] finds its route, [`authorize`] its workspace, [`quota`]
-//! charges it. As a [`job`] it goes through [`relay`]: [`assign`] finds a target where it may run, [`select`] chooses that,
-//! [`load`] has the model loaded there, [`outage`] waits for an engine that is down, [`prefill`] reserves a prefill
-//! slot, [`attempt`] sends it, [`stream`] passes events and resumes. [`failures`] counts failures of targets, `crash`
-//! finds out which requests were on a target that ended, `quarantine` keeps those from targets that end them, [`refuse`]
-//! makes the entry's own answers.
+//! The path of a request: [`serve`] accepts the connection and [`relay`] handles the request. [`admit`] finds
+//! its route, [`authorize`] its workspace, and [`quota`] charges the workspace. The request is a [`job`] from
+//! there on. [`assign`] selects a target where it may run now: [`select`] compares the targets, [`load`] has
+//! the model loaded, [`outage`] waits for an engine that is down, and [`prefill`] reserves a prefill slot.
+//! [`attempt`] sends the request to the target; [`stream`] forwards events and resumes broken streams.
+//! [`failures`] counts the failures of targets, `crash` determines which requests ran on a target that ended,
+//! `quarantine` withholds requests that end targets, and [`refuse`] builds the responses that the entry makes
+//! itself.
 //!
-//! Replicated state: [`replicate`] watches the store, [`follow`] the entry that watches for the data centre, [`change`]
-//! is what they exchange, [`peers`] asks other entries when the store does not answer.
+//! Replicated state: [`replicate`] watches the store, [`follow`] follows the entry that watches for the data
+//! centre, [`change`] defines the changes that they exchange, and [`peers`] fetches newer state from other
+//! entries.
 //!
-//! Agents: [`links`] holds the connections, [`owner`] chooses the agent that counts for all entries, [`prefetch`] has
-//! models loaded before they are requested.
-//! [`context`] holds the state of all, [`dump`] shows it, [`process`] starts and stops.
+//! Agents: [`links`] keeps the connections, [`owner`] chooses the agent that counts for all entries, and
+//! [`prefetch`] has models loaded before requests need them.
+//!
+//! [`context`] holds the state that all modules share, [`dump`] serialises it for operators, and [`process`] starts
+//! and stops the entry.
 #![deny(missing_docs)]
 #![forbid(unsafe_code)]
 
--- a/crates/stair-relay/src/links.rs
+++ b/crates/stair-relay/src/links.rs
@@ -1,7 +1,7 @@
-//! Hears the agents and asks them.
+//! Links to agents: receives their reports and sends them requests.
 //!
-//! One link to the agent of each engine in the list. A link that hears nothing for a while is
-//! opened anew: its connection may have fallen silent.
+//! There is one link to the agent of each listed engine. A link without messages is opened again, since its
+//! connection may be dead without an error.
 
 use std::{
     io::ErrorKind,
@@ -46,37 +46,38 @@
     quarantine, quota,
 };
 
-/// Time to open a link.
+/// Limit for opening a link.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Pause before a link is opened anew.
+/// Pause before a link is opened again.
 const RECONNECT_PAUSE: Duration = Duration::from_millis(400);
 
-/// Time without a message after which a link is dead; agents report every second.
+/// Time without a message after which a link is closed; agents report every second.
 const SILENCE_TIMEOUT: Duration = Duration::from_millis(2500);
 
-/// Pause between looks for what is to be sent to an agent.
+/// Interval in which messages to an agent are collected.
 const SEND_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Links up to which that pause holds. It grows in proportion beyond, to bound the processor time of small VMs.
+/// Number of links up to which [`SEND_INTERVAL`] applies. Beyond, the interval grows in proportion, which
+/// bounds the processor time on small VMs.
 const SEND_INTERVAL_LINKS: u32 = 16;
 
-/// Longest pause; agents take an entry for gone after several of them.
+/// Longest interval; agents count an entry as disconnected after several of them without a message.
 const MAX_SEND_INTERVAL: Duration = Duration::from_millis(1000);
 
-/// Time between heartbeats.
+/// Longest time between two hello messages to an agent.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(1000);
 
-/// Pause between looks for VMs that stand still.
+/// Interval of the checks for unresponsive VMs.
 const CHECK_INTERVAL: Duration = Duration::from_millis(200);
 
-/// A look that comes so late shows that this process has stood still itself.
+/// Time since the previous check that shows that this process was frozen itself.
 const LATE_CHECK: Duration = Duration::from_millis(600);
 
-/// Messages waiting for one agent.
+/// Capacity of the queue of messages to one agent.
 const QUEUE: usize = 64;
 
-/// Keeps a link to the agent of each listed engine, for as long as the process runs.
+/// Keeps a link to the agent of each listed engine until the process ends.
 pub async fn keep(cx: Arc<Context>) {
     loop {
         let changed = cx.changed.notified();
@@ -104,10 +105,11 @@
     }
 }
 
-/// Finds out which VMs stand still, for as long as the process runs.
+/// Detects unresponsive VMs until the process ends.
 ///
-/// A target on such a VM takes connections and answers nothing. Its requests would wait until their clients
-/// leave, and new ones would join them for as long as the list has it: three heartbeats.
+/// A target on an unresponsive VM accepts connections and sends no response. Its requests would wait until
+/// their clients disconnect, and new requests would be sent there until the list drops it after three
+/// heartbeats.
 pub async fn detect_unresponsive(cx: Arc<Context>) {
     let mut checked_at = Instant::now();
     let mut trusted_from = Instant::now();
@@ -116,7 +118,7 @@
         let late = checked_at.elapsed() >= LATE_CHECK;
         checked_at = Instant::now();
         if late {
-            // What agents said meanwhile is still to be read.
+            // Reports that arrived meanwhile have not been read yet.
             trusted_from = checked_at + QUIET_TIME;
         }
         if checked_at < trusted_from {
@@ -127,7 +129,7 @@
     }
 }
 
-/// Engines without a link.
+/// The addresses of listed engines without a link.
 fn unlinked_engines(cx: &Context) -> Vec<SocketAddr> {
     let state = cx.state();
     let Some(catalogue) = &state.catalogue else {
@@ -162,14 +164,15 @@
                     cx.state().view.agent_gone_at(engine);
                 }
             }
-            // Its VM answers and no agent is there.
+            // The VM responds, but no agent runs there.
             Ok(Err(e)) if e.kind() == ErrorKind::ConnectionRefused => {
                 cx.state().view.agent_gone_at(engine);
             }
-            // No sign of the VM, or this process is out of descriptors.
+            // The VM does not respond, or this process has run out of file descriptors.
             Ok(Err(_)) | Err(_) => {}
         }
-        // Also when no link came up: what was asked meanwhile would wait for its whole time.
+        // Needed also when no link was opened, since requests made meanwhile would wait for their whole
+        // timeout.
         mark_unlinked(&cx, engine);
         while rx.try_recv().is_ok() {}
         sleep(RECONNECT_PAUSE).await;
@@ -195,7 +198,7 @@
     quarantine::link_began(cx, engine);
 }
 
-/// Drops what the agent said and the questions that wait for it.
+/// Drops the agent's reports and the requests that wait for its replies.
 fn mark_unlinked(cx: &Context, engine: SocketAddr) {
     let mut state = cx.state();
     if let Some(i) = state.agent(engine) {
@@ -210,12 +213,12 @@
     state.view.unreport(engine);
 }
 
-/// How a link has ended.
+/// Why a link ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Ended {
-    /// The agent's side was closed or reset: its process has ended, and its VM runs.
+    /// The agent closed or reset the connection: its process has ended, and its VM runs.
     Closed,
-    /// Nothing came, or nothing could be written, for too long.
+    /// No message was received, or none could be written, in time.
     Silent,
 }
 
@@ -225,7 +228,7 @@
     stream: TcpStream,
     rx: &mut mpsc::Receiver<ToAgent>,
 ) -> Ended {
-    // Without it a message waits for the acknowledgement of the one before; it still arrives.
+    // Only a latency option: without it a message waits for the acknowledgement of the previous one.
     let _ = stream.set_nodelay(true);
     let (r, w) = stream.into_split();
     tokio::select! {
@@ -260,7 +263,7 @@
                     let found = list.iter().position(|(s, _)| *s == seq);
                     found.map(|i| list.swap_remove(i).1)
                 };
-                // The request that asked may have been given up.
+                // The request that waited may have been dropped.
                 waiting.map(|tx| tx.send(outcome));
             }
             ToEntry::Prefill { seq, answer } => {
@@ -274,7 +277,7 @@
                 let until = now + answer.backlog;
                 state.view.reads_at(engine, until);
                 drop(state);
-                // The request that asked may have been given up.
+                // The request that waited may have been dropped.
                 asked.map(|tx| tx.send(answer));
             }
             ToEntry::Allowed { seq, answer } => quota::receive_reply(cx, engine, seq, answer),
@@ -292,7 +295,7 @@
     }
 }
 
-/// Tells an agent what its engine's service declares.
+/// Sends an agent the declaration of its engine's service.
 fn declare(cx: &Context, engine: SocketAddr) {
     let state = cx.state();
     let (Some(i), Some(catalogue)) = (state.agent(engine), &state.catalogue) else {
@@ -305,7 +308,7 @@
             version: catalogue.version,
             engine,
         };
-        // A full queue is a link that does not move; its agent asks another entry.
+        // With a full queue the link is stuck; the agent requests the declaration from another entry.
         let _ = state.agents[i].tx.try_send(msg);
     }
 }
@@ -322,11 +325,11 @@
     }
 }
 
-/// What an agent has been told on this link.
+/// The state that an agent was sent last on this link.
 #[derive(Default)]
 struct Sent {
     known: Option<ReplicationState>,
-    /// The target's id and the start of its life.
+    /// The id of the target and the start of its incarnation.
     incarnation: Option<(Box<str>, Option<u64>)>,
     hello_at: Option<Instant>,
 }
@@ -374,7 +377,7 @@
     let due = sent
         .hello_at
         .is_none_or(|t| t.elapsed() >= HEARTBEAT_INTERVAL);
-    // The list of targets changes several times a second; that can wait for the heartbeat.
+    // The revision of the targets changes several times a second and is sent with the heartbeat.
     let is_new = sent.known.as_ref().map(|k| k.catalogue) != Some(known.catalogue);
     if is_new || due {
         sent.hello_at = Some(Instant::now());
--- a/crates/stair-relay/src/load.rs
+++ b/crates/stair-relay/src/load.rs
@@ -45,27 +45,28 @@
     },
 };
 
-/// Time that a rejected client may return later than told; a lost packet is sent again after a second.
+/// Time that a rejected client may come later than its Retry-After: a lost packet is sent again after a
+/// second.
 const RETURN_SLACK: Duration = Duration::from_millis(1000);
 
-/// What came of a try to have a model loaded.
+/// The outcome of a request to load a model.
 pub enum Loaded {
-    /// An engine has it.
+    /// An engine has the model.
     Ready,
-    /// Some time has passed; it is worth to look again.
+    /// Some time has passed; a new search may find a target.
     Waited,
-    /// This engine does not load it.
+    /// This engine does not load the model.
     Refused(TargetKey),
-    /// It would come too late; when to come back.
+    /// The load would end too late; the time that it takes.
     TooLate(Duration),
-    /// It would come too late, and an engine that is down may be back with it before.
+    /// The load would end too late, and an engine that is down may be back with the model before.
     EngineDown,
-    /// No engine can load it.
+    /// No engine can load the model.
     NoCapacity,
 }
 
-/// Finds a place for a model, has it loaded there and waits for it until `until`. Engines in
-/// `refused` are left out. Until `outage_until` an engine that is down may be waited for instead.
+/// Finds a placement for a model, has the model loaded there and waits for it until `until`. Engines in
+/// `refused` are excluded. Until `outage_until` an engine that is down may be waited for instead.
 pub async fn load(
     cx: &Arc<Context>,
     job: &Job,
@@ -93,7 +94,7 @@
     }
 }
 
-/// Has the request's model loaded at a place and waits for it.
+/// Has the request's model loaded at the placement `at` and waits for it.
 pub async fn load_at(
     cx: &Arc<Context>,
     job: &Job,
@@ -107,7 +108,7 @@
     };
     let begun = Instant::now();
     let late = begun + at.ready_in + RUN_DURATION > until;
-    // A load that comes too late for this request anyway keeps the weight store from others.
+    // A load that ends too late for this request would only occupy the weight store.
     if late && at.from == Copy::Store && begun < outage_until && outage::is_expected(cx, job) {
         return Loaded::EngineDown;
     }
@@ -118,7 +119,7 @@
     };
     log_load(job, model, at, "needed");
     if late {
-        // It is to be there when the client returns.
+        // The model is to be loaded when the client retries.
         pending.detach();
         return Loaded::TooLate(at.ready_in);
     }
@@ -150,9 +151,9 @@
     }
 }
 
-/// Waits for the answer to a load request. `None` as soon as another engine can run the request: one that
-/// unloads a model first may keep it waiting for as long as that model's streams last, while a
-/// further replica has come elsewhere.
+/// Waits for the reply to a load request. Returns `None` as soon as another engine can run the request: an
+/// engine that has to unload a model first waits for the streams of that model, while another replica may
+/// have been loaded elsewhere.
 async fn wait_loaded(
     cx: &Arc<Context>,
     job: &Job,
@@ -166,8 +167,8 @@
             return Some(outcome);
         }
         if Instant::now() >= until {
-            // As if the agent had failed: the request is refused, and the model is to be there when its
-            // client returns.
+            // Treated like a failure of the agent: the request is refused, and the load goes on so that the
+            // model is there when the client retries.
             pending.detach();
             return Some(Ok(msg::Outcome::Failed));
         }
@@ -177,7 +178,7 @@
     }
 }
 
-/// Waits for a load from the weight store to end, if one after it would still come in time.
+/// Waits for a load from the weight store to end, if a load after that one would still be in time.
 async fn wait_for_store(
     engine: &Engine,
     model: &str,
@@ -202,8 +203,8 @@
     Loaded::Waited
 }
 
-/// Asks an engine's agent for a model, and notes it as loading there until the next report says
-/// better: requests for other models would otherwise choose the same engine at the same moment.
+/// Requests a model from an engine's agent. The model counts as loading there until the agent's next report;
+/// otherwise requests for other models would choose the same engine at the same moment.
 pub fn request(
     cx: &Arc<Context>,
     model: &str,
@@ -243,7 +244,7 @@
     Some(pending)
 }
 
-/// Writes the line of a model that is asked for.
+/// Logs the request for a model.
 pub fn log_load(job: &Job, model: &str, at: &cold_start::Outcome, why: &str) {
     Line::new("wake")
         .text("id", &job.meta.id)
@@ -256,7 +257,7 @@
         .write();
 }
 
-/// The label of a copy in metrics.
+/// The metric label of the location of a copy.
 fn source(from: Copy) -> &'static str {
     match from {
         Copy::Memory => "memory",
@@ -265,7 +266,7 @@
     }
 }
 
-/// Notes that an engine holds a model, ahead of the report that says so.
+/// Adds a model to the inventory of an engine before the agent reports it.
 fn mark_loaded(cx: &Context, model: &str, key: TargetKey) {
     let mut state = cx.state();
     if let Some((report, _)) = &mut state.view.get_mut(key).report {
--- a/crates/stair-relay/src/outage.rs
+++ b/crates/stair-relay/src/outage.rs
@@ -1,6 +1,6 @@
-//! Waits for an engine that is down with a copy of the model.
+//! Waits for an engine that is down and has a copy of the model.
 //!
-//! Load: engines crash that have the only copies of rarely used models. They are back with their disks sooner than a
+//! An engine that crashed may have the only copy of a rarely used model on its disk. It is back sooner than a
 //! load from the weight store ends, which takes longer than clients wait.
 
 use std::{
@@ -24,11 +24,11 @@
     },
 };
 
-/// Pause between looks.
+/// Interval of the checks for a target.
 const CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Waits until a target can run the request or load its model from a copy. Returns false when no engine is
-/// expected back, or none has come until `until`.
+/// expected back, or none is back at `until`.
 pub(crate) async fn wait_for_return(
     cx: &Arc<Context>,
     job: &Job,
--- a/crates/stair-relay/src/owner.rs
+++ b/crates/stair-relay/src/owner.rs
@@ -1,6 +1,8 @@
-//! The agent that counts under a name for all entries: a workspace's allowance, rejections of a model.
+//! The owner of a name: the agent that keeps a count for all entries, such as the quota of a workspace or the
+//! rejections of a model.
 //!
-//! Entries agree on an order of agents by rendezvous hashing, and each takes the first that answers it.
+//! Rendezvous hashing gives all entries the same order of agents; each entry uses the first agent in it that
+//! replies.
 
 use std::{
     net::SocketAddr,
@@ -12,28 +14,28 @@
 
 use crate::context::State;
 
-/// Time for which a choice is kept.
+/// Time for which a chosen owner is cached.
 const CHOICE_TTL: Duration = Duration::from_millis(250);
 
-/// The agents that were chosen lately.
+/// The owners that were chosen recently.
 #[derive(Default)]
 pub struct Owners {
     /// Sorted by name.
     list: Vec<(Box<str>, Owner)>,
 }
 
-/// The agent that counts under a name.
+/// The agent that owns a name.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Owner {
-    /// Its engine.
+    /// The engine beside the agent.
     pub(crate) engine: SocketAddr,
-    /// Whether another agent would be chosen if it answered.
+    /// Whether an agent that comes before it in the order was passed over because it does not reply.
     pub(crate) is_fallback: bool,
     until: Duration,
 }
 
 impl Owners {
-    /// Drops all choices: a link has begun or ended.
+    /// Drops the cached owners, since a link has begun or ended.
     pub(crate) fn clear(&mut self) {
         self.list.clear();
     }
@@ -44,7 +46,7 @@
 }
 
 impl State {
-    /// The agent that counts under a name; `None` when no agent answers.
+    /// The agent that owns a name; `None` when no agent replies.
     pub(crate) fn owner(&mut self, name: &str, now: Duration) -> Option<Owner> {
         let found = self.owners.find(name);
         if let Ok(i) = found
@@ -76,7 +78,7 @@
         })
     }
 
-    /// Leaves out an agent that has not answered.
+    /// Passes over an agent that has not replied, until `until`.
     pub(crate) fn skip_agent(&mut self, engine: SocketAddr, until: Duration) {
         if let Some(i) = self.agent(engine) {
             self.agents[i].skipped_until = until;
@@ -84,11 +86,12 @@
         self.owners.clear();
     }
 
-    /// Has a rejected request counted for a model that no engine could load in time.
+    /// Reports to the owner of a model that a request was rejected because no engine could load the model in
+    /// time.
     pub(crate) fn count_unserved(&mut self, model: &str, now: Duration) {
         let engine = self.owner(model, now).map(|h| h.engine);
         if let Some(i) = engine.and_then(|e| self.agent(e)) {
-            // Lost with a full queue, it is one of many.
+            // A full queue drops the report, which is one of many.
             let _ = self.agents[i].tx.try_send(ToAgent::Unserved(model.into()));
         }
     }
--- a/crates/stair-relay/src/peers.rs
+++ b/crates/stair-relay/src/peers.rs
@@ -1,7 +1,7 @@
-//! Asks other entries for what they know, and answers them.
+//! Fetches newer state from other entries, and serves theirs.
 //!
-//! The store may turn this entry away while it serves the others and the operators. Agents tell
-//! each entry how far the others' knowledge goes; one that lags fetches it from the one ahead.
+//! The store may reject this entry while it serves other entries and the operators. Agents report the
+//! versions of other entries, and a lagging entry fetches newer state from one of them.
 
 use std::{
     sync::Arc,
@@ -36,16 +36,16 @@
     replicate, //
 };
 
-/// Pause between looks at what the others know.
+/// Interval of the checks for a peer with newer state.
 const CHECK_INTERVAL: Duration = Duration::from_millis(400);
 
-/// Time for which what an agent said of the others holds; agents say it again every second.
+/// Time for which an agent's report on other entries is used; agents report every second.
 const PEERS_TTL: Duration = Duration::from_millis(3000);
 
-/// Time for a peer to reply.
+/// Limit for a request and its reply.
 const REPLY_TIMEOUT: Duration = Duration::from_millis(1500);
 
-/// How far the knowledge of an entry goes that asks for what is newer.
+/// The versions of the state that the requesting entry has.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct Versions {
     /// The version of its catalogue, 0 for none.
@@ -54,23 +54,23 @@
     pub targets: u64,
 }
 
-/// What one entry asks of another.
+/// A request to another entry.
 #[derive(Debug, Serialize, Deserialize)]
 pub enum PeerRequest {
-    /// All that is newer, once.
+    /// Requests the newer state once.
     Once(Versions),
-    /// All that is newer, and what is new from then on.
+    /// Requests the newer state and all later changes.
     Follow(Versions),
 }
 
-/// The reply; what is not newer is left out.
+/// The reply with newer state; state that is not newer is `None`.
 #[derive(Debug, Serialize, Deserialize)]
 struct PeerReply {
     catalogue: Option<Catalogue>,
     targets: Option<(Vec<Listed>, u64)>,
 }
 
-/// Asks a peer that is ahead, for as long as the process runs.
+/// Fetches newer state from a peer that has some, until the process ends.
 pub async fn follow(cx: Arc<Context>) {
     loop {
         sleep(CHECK_INTERVAL).await;
@@ -132,14 +132,14 @@
     }
 }
 
-/// Answers other entries, for as long as the process runs.
+/// Serves other entries until the process ends.
 pub async fn serve(cx: Arc<Context>, listener: TcpListener) {
     loop {
         match listener.accept().await {
             Ok((stream, _)) => {
                 tokio::spawn(handle(cx.clone(), stream));
             }
-            // Out of descriptors, for instance: accepting again at once would spin.
+            // Accepting again at once would spin, for instance when file descriptors have run out.
             Err(_) => sleep(Duration::from_millis(50)).await,
         }
     }
@@ -149,15 +149,15 @@
     let request = timeout(REPLY_TIMEOUT, frame::read_message(&mut stream)).await;
     match request {
         Ok(Ok(PeerRequest::Once(known))) => {
-            // The peer has stopped waiting by then.
+            // The peer stops waiting after the same time.
             let _ = timeout(REPLY_TIMEOUT, send_reply(&cx, &known, stream)).await;
         }
         Ok(Ok(PeerRequest::Follow(known))) => {
-            // The peer closes its side when it ends, and the next word to it fails.
+            // The peer closes the connection when it ends, and the next write fails.
             let (_r, w) = stream.into_split();
             follow::serve(&cx, &known, w).await;
         }
-        // Whoever asked has gone.
+        // The peer has disconnected.
         Ok(Err(_)) | Err(_) => {}
     }
 }
--- a/crates/stair-relay/src/prefetch.rs
+++ b/crates/stair-relay/src/prefetch.rs
@@ -1,4 +1,4 @@
-//! Has models loaded before they are asked for.
+//! Has models loaded before requests need them.
 
 use std::{
     sync::Arc,
@@ -20,21 +20,21 @@
     load, //
 };
 
-/// Pause between looks.
+/// Interval of the checks for loads worth making.
 const CHECK_INTERVAL: Duration = Duration::from_millis(300);
 
-/// Time for which a prefetch is of use, longer than a load from a shared weight store.
+/// Time for which a prefetch is of use; longer than a load from a shared weight store.
 const PREFETCH_TTL: Duration = Duration::from_secs(14);
 
-/// Loads requested in one look.
+/// Limit of the loads requested in one check.
 const MAX_LOADS_PER_CHECK: usize = 4;
 
-/// Looks for loads worth making, for as long as the process runs.
+/// Requests loads that are worth making until the process ends.
 pub async fn keep(cx: Arc<Context>) {
     let mut asked: Vec<(Asked, PendingLoad)> = Vec::new();
     loop {
         sleep(CHECK_INTERVAL).await;
-        // An engine is asked for one load at a time.
+        // At most one prefetch is pending for an engine.
         asked.retain_mut(|(_, pending)| pending.is_pending());
         if !is_leader(&cx) {
             continue;
@@ -68,7 +68,7 @@
     }
 }
 
-/// One entry makes these loads: the one with the least name among those that agents hear.
+/// Only one entry requests prefetches: the one with the least name among the entries linked to the agents.
 fn is_leader(cx: &Context) -> bool {
     let state = cx.state();
     let peers = state.peers.as_ref();
--- a/crates/stair-relay/src/prefill.rs
+++ b/crates/stair-relay/src/prefill.rs
@@ -1,4 +1,4 @@
-//! Asks an engine's agent when a prompt may be sent, and waits for it.
+//! Reserves a prefill slot with an engine's agent, and waits until the prompt may be sent.
 
 use std::{
     sync::Arc,
@@ -26,51 +26,51 @@
     },
 };
 
-/// The longest wait that a less urgent prompt reserves a slot for. With more, it would fill the queue beyond what
-/// urgent ones can wait; it asks again until its own time is up.
+/// The longest wait for which a less urgent prompt reserves a slot. A longer one would fill the queue beyond
+/// the wait that urgent prompts can afford; the prompt requests a slot again until its own time is up.
 const MAX_YIELDING_WAIT: Duration = Duration::from_millis(400);
 
-/// Time for an agent to answer: a round trip and the longest pause of a busy VM.
+/// Limit for an agent's reply: a round trip and the longest pause of a busy VM.
 const RESERVE_TIMEOUT: Duration = Duration::from_millis(150);
 
-/// Objectives after which an answer is too late to make others wait for it.
+/// Objectives after which a response is too late to make other requests wait for it.
 const LATE_FACTOR: u32 = 2;
 
-/// What a prompt may do.
+/// The outcome of a request for a prefill slot.
 pub enum Reservation {
-    /// The prompt may be sent.
+    /// The prompt may be sent now.
     Granted(PromptEstimate),
-    /// Others go first; there is time to look again.
+    /// More urgent prompts go first; there is time to search again.
     Retry,
-    /// The wait would be longer than is of use.
+    /// The wait would be longer than is useful; the wait.
     Full(Duration),
 }
 
-/// What the engine's agent takes a prompt for; nothing is known when it is silent.
+/// The agent's estimate for a prompt; the default when the agent is unavailable.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct PromptEstimate {
-    /// Tokens of it that the engine has kept.
+    /// Tokens of the prompt that the engine has cached.
     pub cached: u32,
-    /// Time that the engine takes until this prompt is read.
+    /// Time until the engine has finished the prefill of the prompt.
     pub reads: Duration,
 }
 
-/// What a slot is asked for with.
+/// The options of a request for a prefill slot.
 #[derive(Debug, Clone, Copy)]
 pub struct Options {
-    /// When the time began in which the route promises an event: the request came, or its stream
-    /// broke. A stream that goes on elsewhere has passed the time of its first event long ago, and
-    /// would be cut wherever anything is before it.
+    /// The start of the time in which the route promises an event: the arrival of the request, or the break
+    /// of its stream. Counted from the arrival, the time for the first event of a resumed stream is over, and
+    /// the stream would be truncated wherever another prompt is queued.
     pub since: Instant,
-    /// When no slot is of use any longer.
+    /// The time after which no slot is useful.
     pub until: Instant,
-    /// Engines that have told too late a slot.
+    /// The number of engines whose slot was too late.
     pub full: u32,
-    /// Whether the request has not asked for a slot before.
+    /// Whether this is the first slot that the request reserves.
     pub first: bool,
 }
 
-/// Waits for the prompt's prefill slot at a target, as far as its agent can be reached.
+/// Waits for a prefill slot at a target. Without a reply of its agent the prompt may be sent at once.
 pub async fn reserve(cx: &Arc<Context>, job: &Job, key: TargetKey, opts: &Options) -> Reservation {
     let Some((model, _)) = job.model_of_engine() else {
         return Reservation::Granted(PromptEstimate::default());
@@ -98,7 +98,7 @@
         if cx.record_unanswered(key) {
             return Reservation::Retry;
         }
-        // A sound engine is used also when its agent is silent.
+        // An engine on a responsive VM is used also when its agent does not reply.
         return Reservation::Granted(PromptEstimate::default());
     };
     cx.page.time("turn_wait_ms", &[], reply.wait);
@@ -116,7 +116,7 @@
         }
         return Reservation::Full(reply.wait);
     }
-    // A timer takes up to a millisecond also when there is nothing to wait for.
+    // Skipped for a zero wait, as a timer takes up to a millisecond.
     if !reply.wait.is_zero() {
         sleep(reply.wait).await;
     }
@@ -126,13 +126,13 @@
     })
 }
 
-/// The longest wait for a slot after which a request is not too late.
+/// The longest wait for a slot with which the response is not too late.
 fn max_late_wait(objective: Duration) -> Duration {
     (objective * LATE_FACTOR).saturating_sub(RUN_DURATION)
 }
 
-/// The longest wait for a slot that is of use: at first one after which the answer is on time, then
-/// one after which it is not too late.
+/// The longest useful wait for a slot. The response has to be on time until [`MAX_FULL`] engines were full;
+/// after that it must only not be too late.
 fn useful_wait(job: &Job, opts: &Options) -> Duration {
     let times = if opts.full < MAX_FULL { 1 } else { LATE_FACTOR };
     let end = opts.until.min(opts.since + job.route.objective * times);
--- a/crates/stair-relay/src/process.rs
+++ b/crates/stair-relay/src/process.rs
@@ -29,13 +29,13 @@
     serve, //
 };
 
-/// Time before the kill by which the process has ended on its own.
+/// The process ends on its own this long before it would be killed.
 const KILL_MARGIN: Duration = Duration::from_millis(400);
 
-/// Time for which a stopping entry still accepts connections: the balancer notices after two misses.
+/// Time for which a stopping entry accepts connections: the balancer removes it after two failed probes.
 const LISTEN_AFTER_STOP: Duration = Duration::from_millis(3500);
 
-/// Pause between looks whether all requests have been answered.
+/// Interval of the checks whether all requests have got their response.
 const CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
 /// An entry whose addresses are bound.
@@ -72,7 +72,7 @@
         &self.settings
     }
 
-    /// Runs until `stop` turns true and the requests that came before are answered.
+    /// Runs until `stop` turns true and the requests received before are finished.
     pub async fn run(
         self,
         reloads: watch::Receiver<GatewaySettings>,
@@ -98,7 +98,7 @@
         tasks.spawn(serve::readiness(cx.clone(), self.ready, never.clone()));
         tasks.spawn(serve::metrics(cx.clone(), self.metrics, never));
         tasks.spawn(serve::clients(cx.clone(), self.clients));
-        // The sender lives as long as the process.
+        // The sender outlives this wait.
         let _ = stop.wait_for(|s| *s).await;
         let last = Instant::now() + stop_within.saturating_sub(KILL_MARGIN);
         cx.drain(last);
@@ -122,8 +122,8 @@
     Ok(())
 }
 
-/// Takes changed settings over while the process runs; addresses that are listened on stay until
-/// its next start.
+/// Applies changed settings while the process runs. Changes of the entry's name and of the addresses that it
+/// listens on take effect at the next start.
 async fn follow_settings(cx: Arc<Context>, mut reloads: watch::Receiver<GatewaySettings>) {
     while reloads.changed().await.is_ok() {
         let new = reloads.borrow_and_update().clone();
@@ -146,7 +146,7 @@
     Ok(listener)
 }
 
-/// Waits until nothing is in flight, at most until `last`, shortly before the kill.
+/// Waits until no request is being served, at most until `last`.
 async fn finish(cx: &Context, last: Instant) {
     let begun = Instant::now();
     while Instant::now() < last {
--- a/crates/stair-relay/src/quarantine.rs
+++ b/crates/stair-relay/src/quarantine.rs
@@ -1,10 +1,11 @@
-//! Keeps requests that end the targets that run them away from targets.
+//! Withholds requests that end the targets that run them.
 //!
-//! A few agents keep the ledgers, chosen in an order on which all entries agree; each tells all entries what follows
-//! from the reports. While no agent is linked, an entry keeps a ledger of its own. What decides is in
-//! [`quarantine`](stair_fleet::quarantine).
+//! A few agents keep ledgers of crashes. All entries choose the same agents, and each agent reports its
+//! verdicts to all entries. While no agent is linked, an entry keeps a ledger of its own.
+//! [`quarantine`](stair_fleet::quarantine) defines the decisions.
 //!
-//! Invariants: a request that is quarantined here is not sent to a target; what is said of it is true.
+//! Invariants: a request that is quarantined here is not sent to a target; only true statements about a
+//! request are reported to ledgers.
 
 use std::{
     net::SocketAddr,
@@ -51,25 +52,25 @@
     },
 };
 
-/// Agents that keep a ledger: two may be lost at once.
+/// Number of agents that keep a ledger: two may be lost at once.
 const LEDGERS: usize = 3;
 
-/// The key of their order.
+/// The key by which rendezvous hashing orders these agents.
 const LEDGER_KEY: &str = "quarantine";
 
-/// Time for an agent to answer: a round trip and the longest pause of a busy VM.
+/// Limit for an agent's reply: a round trip and the longest pause of a busy VM.
 const REPLY_TIMEOUT: Duration = Duration::from_millis(100);
 
-/// Time for which an agent that has not answered is not asked.
+/// Time for which an agent that has not replied is not used.
 const SKIP_DURATION: Duration = Duration::from_millis(1000);
 
-/// What an entry knows of requests that end targets.
+/// An entry's state of requests that end targets.
 #[derive(Default)]
 pub(crate) struct Quarantine {
     pub(crate) watchlist: Watchlist,
-    /// Kept while no agent is linked.
+    /// Used while no agent is linked.
     own: Ledger,
-    /// Questions that wait for their answer.
+    /// Requests for a trial that wait for a reply.
     pending: Vec<PendingRequest>,
 }
 
@@ -79,21 +80,21 @@
     tx: oneshot::Sender<bool>,
 }
 
-/// The run of a suspect, until this is dropped.
+/// The run of a suspect; the trial ends when this is dropped.
 pub(crate) struct Trial {
     cx: Arc<Context>,
     fingerprint: Fingerprint,
-    /// The engine whose agent has granted it; `None` for this entry itself.
+    /// The engine whose agent granted the trial; `None` for this entry's own ledger.
     engine: Option<SocketAddr>,
 }
 
 /// Whether a request may be sent to a target now.
 pub(crate) enum Gate {
-    /// It may; a suspect's run counts until the trial is dropped.
+    /// The request may be sent. For a suspect, the trial counts until it is dropped.
     Open(Option<Trial>),
-    /// Another run has to end before.
+    /// Another run of it has to end before.
     Busy,
-    /// It is not run for so long.
+    /// The request is quarantined for this time.
     Closed(Duration),
 }
 
@@ -108,7 +109,7 @@
     }
 }
 
-/// What is known of a request; `None` for an ordinary one.
+/// The standing of a request; `None` for an ordinary one.
 pub(crate) fn standing(cx: &Context, job: &Job) -> Option<Standing> {
     if cx.state().quarantine.watchlist.is_empty() {
         return None;
@@ -117,13 +118,13 @@
     if !cx.state().quarantine.watchlist.has_outline(outline) {
         return None;
     }
-    // Taken without the lock, as its time grows with the body.
+    // Computed without the lock, as its time grows with the body.
     let fingerprint = job.fingerprint();
     let now = cx.now();
     cx.state().quarantine.watchlist.standing(&fingerprint, now)
 }
 
-/// Time for which a request is not run.
+/// The remaining time of a request's quarantine.
 pub(crate) fn quarantined_for(cx: &Context, job: &Job) -> Option<Duration> {
     match standing(cx, job)? {
         Standing::Quarantined(left) => Some(left),
@@ -135,7 +136,7 @@
 ///
 /// # Errors
 ///
-/// The refusal, with the time after which the request is run again.
+/// The refusal, with the remaining time as Retry-After.
 pub(crate) fn admit(cx: &Context, job: &Job) -> Result<(), Refusal> {
     let Some(left) = quarantined_for(cx, job) else {
         return Ok(());
@@ -184,7 +185,7 @@
     }
 }
 
-/// Asks the first agent that keeps a ledger; `None` when it does not answer.
+/// Requests a trial from the first agent that keeps a ledger; `None` when it does not reply.
 async fn query_ledger(
     cx: &Arc<Context>,
     fingerprint: Fingerprint,
@@ -243,7 +244,7 @@
     });
 }
 
-/// Takes in that a target lives that has run a request.
+/// Records that a target completed the request and is still running.
 pub(crate) fn survived(cx: &Context, job: &Job) {
     if standing(cx, job).is_none() {
         return;
@@ -262,7 +263,7 @@
     }
 }
 
-/// Takes in what an agent says.
+/// Handles a message of an agent that keeps a ledger.
 pub(crate) fn receive(cx: &Context, engine: SocketAddr, msg: ToWatchlist) {
     match msg {
         ToWatchlist::Known(list) => apply(cx, &list),
@@ -272,13 +273,13 @@
             let found = pending
                 .iter()
                 .position(|o| o.engine == engine && o.seq == seq);
-            // The request that asked may have been given up.
+            // The request that waited may have been dropped.
             found.map(|i| pending.swap_remove(i).tx.send(granted));
         }
     }
 }
 
-/// Tells an agent whose link has begun what is known here, if it keeps a ledger.
+/// Sends the known standings to an agent whose link has begun, if it keeps a ledger.
 pub(crate) fn link_began(cx: &Context, engine: SocketAddr) {
     let now = cx.now();
     let state = cx.state();
@@ -302,14 +303,14 @@
 }
 
 impl Quarantine {
-    /// Drops the questions to an agent whose link has ended.
+    /// Drops the requests to an agent whose link has ended.
     pub(crate) fn link_ended(&mut self, engine: SocketAddr) {
         self.pending.retain(|o| o.engine != engine);
     }
 }
 
 impl State {
-    /// The engines whose agents keep the ledgers, best first.
+    /// The engines whose agents keep the ledgers, in their common order.
     fn ledgers(&self, now: Duration) -> Vec<SocketAddr> {
         let answers = |a: &&AgentLink| a.linked && a.skipped_until <= now;
         let linked: Vec<_> = self.agents.iter().filter(answers).collect();
@@ -320,7 +321,7 @@
 
     fn send_to_ledger(&self, engine: SocketAddr, msg: ToLedger) {
         if let Some(i) = self.agent(engine) {
-            // An agent that does not read is one of several that are told.
+            // A full queue may drop the message; other agents get it too.
             let _ = self.agents[i].tx.try_send(ToAgent::Quarantine(msg));
         }
     }
--- a/crates/stair-relay/src/quota.rs
+++ b/crates/stair-relay/src/quota.rs
@@ -1,9 +1,10 @@
-//! Takes the cost of a request from the allowance of its workspace.
+//! Charges the quota of a workspace for its requests.
 //!
-//! One agent counts a workspace for all entries: the first that answers, in an order on which all entries agree. While
-//! none answers, an entry admits its own share.
+//! One agent, the [`owner`](crate::owner), counts a workspace for all entries. While no agent replies, an
+//! entry grants requests from its own share of the quota.
 //!
-//! Invariant: a request is counted once, however many targets it is sent to, and not at all if it has not run.
+//! Invariant: a request is charged once, however many targets it is sent to, and not at all if it has not
+//! run.
 
 use std::{
     net::SocketAddr,
@@ -50,29 +51,29 @@
     },
 };
 
-/// Time for an agent to answer: a round trip and the longest pause of a busy VM.
+/// Limit for an agent's reply: a round trip and the longest pause of a busy VM.
 const REPLY_TIMEOUT: Duration = Duration::from_millis(100);
 
-/// Time for which an agent that has not answered is not asked.
+/// Time for which an agent that has not replied is not used.
 const SKIP_DURATION: Duration = Duration::from_millis(1000);
 
-/// Agents that one request asks at most.
+/// Limit of the agents that are tried for one request.
 const MAX_AGENTS: usize = 2;
 
-/// The part of its objective that a request may wait for its allowance; the rest is for serving it.
+/// A request waits for its quota for at most its objective divided by this; the rest is for serving it.
 const WAIT_DIVISOR: u32 = 4;
 
-/// A request that costs less than this part of its workspace's burst does not wait for the answer.
+/// A request whose cost is at most this fraction of its workspace's burst does not wait for the reply.
 const SMALL_FRACTION: f64 = 1.0 / 50.0;
 
-/// What an entry keeps of workspaces' allowances.
+/// An entry's state of the quotas of workspaces.
 #[derive(Default)]
 pub struct Quotas {
-    /// Until when each workspace owes, sorted by workspace.
+    /// The time until which each workspace is overdrawn, sorted by workspace.
     overdrawn: Vec<(Box<str>, Duration)>,
-    /// This entry's own parts, sorted by workspace.
+    /// This entry's own shares, sorted by workspace.
     shares: Vec<(Box<str>, Bucket)>,
-    /// Questions that wait for their answer.
+    /// Requests that wait for a reply.
     pending: Vec<PendingRequest>,
 }
 
@@ -85,15 +86,15 @@
     tx: Option<oneshot::Sender<Answer>>,
 }
 
-/// Who counted a request.
+/// Where a request was charged.
 #[derive(Debug, Clone, Copy)]
 enum CountedBy {
     Agent(SocketAddr),
-    /// This entry, from its own part.
+    /// At this entry, from its own share.
     Entry,
 }
 
-/// What one request has taken; given back when dropped, unless the request was sent.
+/// The charge of one request; refunded on drop unless the request may have run.
 pub struct Grant {
     cx: Arc<Context>,
     workspace: Box<str>,
@@ -103,7 +104,7 @@
 }
 
 impl Grant {
-    /// Notes whether the request may have run.
+    /// Sets whether a target may have run the request.
     pub fn set_may_have_run(&self, may_have_run: bool) {
         self.may_have_run.store(may_have_run, Ordering::Relaxed);
     }
@@ -128,23 +129,24 @@
     }
 }
 
-/// A request that takes from its workspace's allowance.
+/// The request that is charged.
 pub(crate) struct Options<'a> {
-    /// Its id.
+    /// The id of the request, for logs.
     pub(crate) id: &'a str,
-    /// The version of the catalogue in force.
+    /// The version of the catalogue that declares the quota.
     pub(crate) version: u64,
-    /// The tokens of its prompt and of its answer at most.
+    /// The tokens of its prompt and the upper bound of those of its response.
     pub(crate) tokens: u64,
-    /// The time within which its client is promised an answer.
+    /// The time within which its client is promised a response.
     pub(crate) objective: Duration,
 }
 
-/// Takes what a request costs; `None` where its workspace has no limit.
+/// Charges a workspace for a request, and waits until the quota allows the request. Returns `None` where the
+/// workspace has no quota.
 ///
 /// # Errors
 ///
-/// The refusal of a request that its workspace's allowance has no room for.
+/// The refusal of a request that exceeds the quota of its workspace.
 pub(crate) async fn take(
     cx: &Arc<Context>,
     workspace: &Workspace,
@@ -188,7 +190,7 @@
         by,
         may_have_run: AtomicBool::new(false),
     };
-    // A request that does not wait has nothing to do with what its workspace owes.
+    // A request that was passed does not wait, even if its workspace is overdrawn.
     if !ask.passed && !answer.wait.is_zero() {
         sleep(answer.wait).await;
     }
@@ -229,7 +231,7 @@
     None
 }
 
-/// Takes from this entry's own part.
+/// Charges this entry's own share.
 fn take_share(cx: &Context, ask: &Ask) -> Answer {
     let now = cx.now();
     let entries = cx.entries();
@@ -245,7 +247,7 @@
     bucket.spend(ask.cost, ask.limit, now)
 }
 
-/// Takes in an agent's answer.
+/// Handles an agent's reply.
 pub(crate) fn receive_reply(cx: &Context, engine: SocketAddr, seq: u64, answer: Answer) {
     let now = cx.now();
     let mut state = cx.state();
@@ -265,12 +267,12 @@
 }
 
 impl Quotas {
-    /// Drops the questions to an agent whose link has ended.
+    /// Drops the requests to an agent whose link has ended.
     pub(crate) fn link_ended(&mut self, engine: SocketAddr) {
         self.pending.retain(|o| o.engine != engine);
     }
 
-    /// Workspaces that owe, and for how long yet.
+    /// The workspaces that are overdrawn, and the remaining time.
     pub(crate) fn overdrawn(&self, now: Duration) -> impl Iterator<Item = (&str, Duration)> {
         let overdrawn = self.overdrawn.iter().filter(move |(_, until)| now < *until);
         overdrawn.map(move |(name, until)| (&**name, until.saturating_sub(now)))
@@ -289,7 +291,7 @@
 }
 
 impl State {
-    /// Asks the agent that counts a workspace. The receiver is missing for a request that does not wait.
+    /// Sends a request to the owner of a workspace. The receiver is missing for a request that does not wait.
     fn request_quota(
         &mut self,
         ask: &mut Ask,
@@ -327,7 +329,7 @@
                 workspace: workspace.into(),
                 cost,
             };
-            // An agent that does not read is asked no more, and what it counts with it.
+            // A full queue drops the refund. Such an agent is not used any more, nor is its count.
             let _ = self.agents[i].tx.try_send(msg);
         }
     }
--- a/crates/stair-relay/src/refuse.rs
+++ b/crates/stair-relay/src/refuse.rs
@@ -1,4 +1,4 @@
-//! The entry's own answers: refusals and failures.
+//! Responses that the entry makes itself: refusals and failures.
 
 use std::time::Duration;
 
@@ -23,29 +23,29 @@
 
 const VERDICT: HeaderName = HeaderName::from_static("dandelionstair-verdict");
 
-/// When to come back after an entry that stops refused: a new connection goes to another at once.
+/// Retry-After of an entry that stops: a new connection goes to another entry at once.
 pub const STOPPING_RETRY_AFTER: Duration = Duration::from_millis(50);
 
-/// Why the entry answers itself.
+/// The reason for a response of the entry itself.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Reason {
     /// No catalogue is known yet.
     Starting,
-    /// The process stops before the request would be answered.
+    /// The process ends before the response would be complete.
     Stopping,
     /// No route has this host and path.
     NoRoute,
     /// The request has no key, and its route needs one.
     NoKey,
-    /// It has two keys, or one that cannot be a key.
+    /// The request has two keys, or one that is malformed.
     BadKey,
-    /// Its key belongs to no workspace.
+    /// The key belongs to no workspace.
     UnknownKey,
-    /// Its key is not known here, and newer declarations may be in force elsewhere.
+    /// The key is unknown here, but this entry's catalogue may be out of date.
     Lagging,
-    /// Its workspace has used its allowance up.
+    /// The workspace has used up its quota.
     OverQuota,
-    /// It has ended the targets that ran it.
+    /// The request has ended the targets that ran it.
     Quarantined,
     /// The request is malformed.
     Malformed,
@@ -55,16 +55,16 @@
     TooSlow,
     /// No target can run it before its deadline.
     NoTarget,
-    /// The targets refused it.
+    /// All targets that were tried refused the request.
     Refused,
-    /// The target did not answer before the deadline.
+    /// The target did not respond before the deadline.
     Late,
-    /// The target's answer was lost.
+    /// The target's response was lost.
     Lost,
 }
 
 impl Reason {
-    /// The text in logs, metrics and bodies.
+    /// The text in logs, metrics and response bodies.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::Starting => "starting",
@@ -107,20 +107,20 @@
     }
 }
 
-/// An answer of the entry's own.
+/// A response that the entry makes itself.
 #[derive(Debug, Clone, Copy)]
 pub struct Refusal {
-    /// Why.
+    /// The reason.
     pub reason: Reason,
-    /// Whether the request may have run. A status that promises that it has not is sent only with
+    /// Whether the request may have run. A status that promises that it has not run is sent only with
     /// [`Verdict::NotRun`].
     pub verdict: Verdict,
-    /// When to come back, if that helps.
+    /// The value of Retry-After, if a retry may succeed.
     pub retry_after: Option<Duration>,
 }
 
 impl Refusal {
-    /// Makes one for a request that has not run.
+    /// Returns the refusal of a request that has not run.
     pub fn not_run(reason: Reason, retry_after: Option<Duration>) -> Self {
         Self {
             reason,
@@ -129,7 +129,7 @@
         }
     }
 
-    /// Makes one for a request that may have run.
+    /// Returns the refusal of a request that may have run.
     pub fn may_have_run(reason: Reason) -> Self {
         Self {
             reason,
@@ -138,12 +138,12 @@
         }
     }
 
-    /// The status it is sent with.
+    /// The HTTP status of the response.
     pub fn status(&self) -> StatusCode {
         self.reason.status(self.verdict)
     }
 
-    /// Makes the answer.
+    /// Builds the response.
     pub fn response(&self) -> Response<Body> {
         let body = json!({ "error": {
             "type": self.reason.as_str(),
@@ -165,7 +165,7 @@
         if status == StatusCode::UNAUTHORIZED {
             headers.insert(WWW_AUTHENTICATE, HeaderValue::from_static("ApiKey"));
         }
-        // The rest of such a request must not be taken for the next one.
+        // The rest of such a request must not be read as the next request.
         if matches!(
             self.reason,
             Reason::Malformed | Reason::TooLarge | Reason::TooSlow
--- a/crates/stair-relay/src/relay.rs
+++ b/crates/stair-relay/src/relay.rs
@@ -1,8 +1,8 @@
-//! Brings a request to a target and its answer back.
+//! Relays a request to a target and the target's response to the client.
 //!
-//! Invariants: a request that must not run twice is sent on only after a target's word that it has
-//! not run; an answer that promises so is sent only when all targets it was sent to gave that word;
-//! every further target draws on the shared retry budget.
+//! Invariants: a request that must not run twice is sent to another target only after the first one stated
+//! that it has not run it. A response that promises that the request has not run is sent only when every
+//! target that received the request stated so. Each further target draws on the shared retry budget.
 
 use std::{
     sync::Arc,
@@ -59,14 +59,15 @@
 /// Retry-After when all targets were full.
 pub(crate) const REFUSED_RETRY_AFTER: Duration = Duration::from_millis(500);
 
-/// Targets that one request is sent to at most while each says that it has not run it.
+/// Upper bound on the targets that one request is sent to, as long as each of them states that it has not run
+/// it.
 const MAX_SENDS: usize = 4;
 
-/// A repeatable request is tried at another target after so many objectives: most targets that take longer have
-/// hung.
+/// Objectives after which a repeatable request is tried at another target: most targets that take longer
+/// hang.
 const HUNG_OBJECTIVES: u32 = 3;
 
-/// Serves one request.
+/// Serves one request of a client; every outcome is a response.
 pub async fn serve(cx: Arc<Context>, req: Request<Incoming>) -> Response<Body> {
     let received = Instant::now();
     let id = Meta::decode(req.headers()).id;
@@ -99,8 +100,8 @@
     resp
 }
 
-/// A request without an answer yet. The work on it is dropped when its client leaves, so a line from
-/// here is all that tells an engineer why the request's story ends.
+/// Logs `client.left` when it is dropped before the response. The work on a request is dropped when its
+/// client disconnects, and this line is the only trace of that.
 struct PendingResponse {
     cx: Arc<Context>,
     id: Box<str>,
@@ -131,24 +132,24 @@
     }
 }
 
-/// How the attempts of one request went so far.
+/// The attempts made so far for one request.
 pub struct Attempts {
-    /// Targets that are not to be tried again.
+    /// Targets that must not be tried again.
     pub keys: Vec<TargetKey>,
-    /// Attempts that may have run.
+    /// Attempts that may have run the request.
     pub ran: u8,
-    /// Requests sent.
+    /// Attempts that were sent, whether or not they ran.
     pub sent: usize,
-    /// Whether the next retry has been taken from the budget.
+    /// Whether the next retry has already been taken from the budget.
     pub paid: bool,
-    /// A target's own failure that was to be bettered by a retry.
+    /// The failure response of a target, forwarded to the client if the retry fails too.
     failure: Option<Response<Body>>,
-    /// Failures by targets' own word.
+    /// Failures that targets reported themselves.
     failures: Failures,
 }
 
 impl Attempts {
-    /// Makes that of a request that has not been sent.
+    /// Returns the record of a request that has not been sent.
     pub fn new(cx: &Arc<Context>, job: &Job) -> Self {
         Self {
             keys: Vec::new(),
@@ -160,7 +161,7 @@
         }
     }
 
-    /// Whether the attempt that is under way may be given up for another target.
+    /// Whether the attempt in progress may be abandoned for another target.
     pub fn may_abandon(&self, job: &Job) -> bool {
         job.route.repeatable() && self.ran + 1 < job.route.attempts
     }
@@ -174,8 +175,7 @@
 async fn run(cx: &Arc<Context>, job: Arc<Job>) -> Result<Response<Body>, Refusal> {
     let mut attempts = Attempts::new(cx, &job);
     let result = run_attempts(cx, job, &mut attempts).await;
-    // What a target has answered is passed on rather than replaced by a failure of the entry's own,
-    // which would tell the client less.
+    // The failure response of a target tells the client more than a failure of the entry.
     match (result, attempts.failure.take()) {
         (Err(_), Some(failure)) => Ok(failure),
         (result, _) => result,
@@ -233,11 +233,11 @@
     Refusal::may_have_run(reason)
 }
 
-/// Picks a target and sends the request there once.
+/// Selects a target and sends the request there once.
 ///
 /// # Errors
 ///
-/// [`NotAssigned`] if no target can run it in time, or none may.
+/// [`NotAssigned`] if no target can run it in time, or the request must not run now.
 pub async fn attempt_once(
     cx: &Arc<Context>,
     job: &Job,
@@ -249,7 +249,7 @@
     Ok((selected, outcome))
 }
 
-/// Sends the request to a target once.
+/// Sends the request to the selected target once and records the outcome.
 pub async fn send(
     cx: &Arc<Context>,
     job: &Job,
@@ -278,12 +278,13 @@
     outcome
 }
 
-/// Waits until an attempt is given up for a VM that stands still.
+/// Waits until an attempt is abandoned because its VM is unresponsive.
 ///
-/// What may run elsewhere is given up at once. The rest waits until right before its client leaves, and is then
-/// answered that it may have run: a VM that stands still cannot take the client's close.
+/// With `elsewhere` the attempt is abandoned at once, as the request may run at another target. Otherwise it
+/// is abandoned at `client_leaves`, right before the client disconnects, so that the response that it may
+/// have run still arrives. An unresponsive VM would not notice that the client closed its connection.
 ///
-/// `before` were tried before the target `key`; a run at one of them may go on as well.
+/// The targets `before` were tried before the target `key`; the request may still run at one of them.
 pub async fn until_abandoned(
     cx: &Context,
     before: &[TargetKey],
@@ -303,7 +304,7 @@
     }
 }
 
-/// When an attempt is given up for another: a repeatable request is not left to a target that hangs.
+/// When an attempt is abandoned for another one. A repeatable request does not wait for a target that hangs.
 fn attempt_deadline(job: &Job, attempts: &Attempts) -> Instant {
     if !attempts.may_abandon(job) || job.route.objective.is_zero() {
         return job.deadline;
@@ -311,7 +312,7 @@
     (Instant::now() + job.route.objective * HUNG_OBJECTIVES).min(job.deadline)
 }
 
-/// Takes the outcome of an attempt into what is known of the target.
+/// Records the outcome of an attempt in the state of the target.
 fn record_outcome(
     cx: &Arc<Context>,
     job: &Job,
@@ -350,7 +351,7 @@
         } => {
             let other = instance.as_ref().is_some_and(|i| *i != selected.id);
             match &job.meta.model {
-                // The target that was meant is gone, whatever the list still says.
+                // The target has been replaced at its address, although the list still contains it.
                 _ if other => {
                     target_state.leave();
                     stale_engine = Some(target_state.target.addr);
@@ -402,7 +403,7 @@
     Failed(Reason),
 }
 
-/// Passes a target's answer on.
+/// Forwards a target's response to the client.
 async fn forward(
     cx: &Arc<Context>,
     job: &Arc<Job>,
@@ -449,7 +450,7 @@
     Forwarded::Done(client_response(&live.head, full(body)))
 }
 
-/// Makes the client's answer from the head of a target's.
+/// Builds the response to the client from the head of a target's response.
 pub fn client_response(head: &hyper::http::response::Parts, body: Body) -> Response<Body> {
     let mut headers = head.headers.clone();
     strip_hop(&mut headers);
--- a/crates/stair-relay/src/replicate.rs
+++ b/crates/stair-relay/src/replicate.rs
@@ -1,9 +1,9 @@
-//! Replicates declarations and the list of targets from the store.
+//! Replicates the catalogue and the list of targets from the store.
 //!
-//! One entry of a data centre watches the store, the others [`follow`](crate::follow) it; an entry that receives nothing
-//! watches by itself.
+//! One entry of a data centre watches the store, and the others [`follow`](crate::follow) it. An entry that
+//! receives nothing watches by itself.
 //!
-//! Invariant: versions only rise; an older answer of a stale store or a lagging peer changes nothing.
+//! Invariant: versions only rise; an older reply of a stale store or a lagging peer changes nothing.
 
 use std::{
     sync::Arc,
@@ -44,38 +44,40 @@
     }, //
 };
 
-/// Time of a watch. Its end shows a silent connection, so it bounds the age of the state; each call is charged.
+/// Duration of a watch. A dead connection shows only when a watch does not end in time, so this bounds the
+/// age of the state. Shorter watches cost more, since each call is charged.
 const WATCH_DURATION: Duration = Duration::from_millis(3000);
 
-/// The same for the targets at an entry that others follow.
+/// Duration of a watch of the targets at an entry that others follow.
 const FOLLOWED_TARGETS_DURATION: Duration = Duration::from_millis(500);
 
-/// The same for declarations, which have no pause after a change.
+/// Duration of a watch of the catalogue at an entry that others follow. It is longer, since no pause follows
+/// a change of the catalogue.
 const FOLLOWED_CATALOGUE_DURATION: Duration = Duration::from_millis(1000);
 
-/// Pause after a failed call, doubled with each further one. Rejected calls are charged too.
+/// Pause after a failed call, doubled after each further one. Rejected calls are charged too.
 const RETRY_PAUSE: Duration = Duration::from_millis(300);
 
-/// Longest pause: changes are due within two seconds after the store is back.
+/// Longest pause: changes are due within 2 s after the store is back.
 const MAX_RETRY_PAUSE: Duration = Duration::from_millis(1200);
 
-/// Pause between watches of the targets that bring changes, which come many times a second.
+/// Pause after a watch of the targets that returned changes, which come many times a second.
 const BATCH_PAUSE: Duration = Duration::from_millis(600);
 
-/// The same while the process is young: after a power cut all targets announce new lives.
+/// The same for a recently started process: after a power failure all targets announce new incarnations.
 const RECENT_START_BATCH_PAUSE: Duration = Duration::from_millis(150);
 
-/// Age up to which a process is young: three heartbeats of a target and its start.
+/// Age up to which a process counts as recently started: three heartbeats of a target and its start.
 const RECENT_START: Duration = Duration::from_secs(5);
 
-/// Time for which a target that is missing after the store was away is still used; a live one announces itself
-/// within two seconds.
+/// Time for which a target that is missing from the list after an outage of the store is still used; a
+/// running target announces itself within 2 s.
 pub const MISSING_GRACE: Duration = Duration::from_millis(1900);
 
-/// Follows the declarations for as long as the process runs.
+/// Replicates the catalogue until the process ends.
 ///
-/// A list names the store's revision, from which a watch can start; the revision of the object itself may be older
-/// than the history that the store keeps.
+/// A list states the store's revision, from which a watch can start. The revision of the object itself may be
+/// older than the store's history.
 pub async fn follow_catalogue(cx: Arc<Context>) {
     let mut health = Health::new("catalogue");
     loop {
@@ -121,7 +123,8 @@
     }
 }
 
-/// Takes in why a watch has ended. One whose history is gone is read anew; the store is there.
+/// Records why a watch ended. When the store has dropped the history since the last revision, the list is
+/// read again; this is not an outage.
 fn record_watch_error(cx: &Context, watched: Watched, health: &mut Health, e: &Error) {
     if *e == Error::Gone {
         cx.follow.expect_reply(watched, RETRY_PAUSE);
@@ -136,7 +139,7 @@
     workspace::wipe_keys(&mut object.spec);
     match decoded {
         Ok(new) => apply_catalogue(cx, new, "store"),
-        // The last good one stays in force.
+        // The last valid catalogue stays in force.
         Err(e) => Line::failure("catalogue.unreadable")
             .num("revision", object.revision)
             .show("error", e)
@@ -144,7 +147,7 @@
     }
 }
 
-/// Puts a catalogue in force unless a newer one is.
+/// Puts a catalogue in force unless one as new or newer is.
 pub fn apply_catalogue(cx: &Context, new: Catalogue, source: &str) {
     let version = new.version;
     {
@@ -166,7 +169,7 @@
     cx.changed.notify_waiters();
 }
 
-/// Follows the targets for as long as the process runs.
+/// Replicates the targets until the process ends.
 pub async fn follow_targets(cx: Arc<Context>) {
     let mut health = Health::new("targets");
     loop {
@@ -185,7 +188,7 @@
     }
 }
 
-/// Takes the time of a store call that does not wait for changes, answered or not.
+/// Records the duration of a store call that does not wait for changes, whether it succeeds or not.
 fn record_call_time(cx: &Context, call: &str, begun: Instant) {
     let labels = [("call", call)];
     cx.page.time("store_call_ms", &labels, begun.elapsed());
@@ -200,7 +203,7 @@
         let page = store.list(target::KIND, after.as_deref()).await;
         record_call_time(cx, "list", begun);
         let page = page?;
-        // Changes between pages are seen again by a watch from the first page's revision.
+        // A watch from the first page's revision returns the changes made between pages.
         revision.get_or_insert(page.revision);
         after = page.objects.last().map(|o| o.name.clone());
         targets.extend(page.objects.iter().filter_map(change::decode));
@@ -210,7 +213,8 @@
     }
 }
 
-/// Takes a whole list in. After the store was away, what is missing may only be late.
+/// Applies a whole list from the store. A target that is missing after an outage of the store gets
+/// [`MISSING_GRACE`], as its announcement may only be late.
 fn apply_targets(cx: &Context, targets: Vec<Target>, revision: u64, was_unavailable: bool) {
     let now = cx.now();
     let grace = if was_unavailable {
@@ -231,7 +235,7 @@
     log_list(cx, revision, count, "store");
 }
 
-/// Takes the list of a peer in, unless this entry's is as new.
+/// Applies the list of a peer, unless this entry's is as new.
 pub fn apply_listed(cx: &Context, listed: Vec<Listed>, revision: u64, peer: &str) {
     let count = listed.len() as i64;
     {
@@ -255,7 +259,7 @@
     cx.changed.notify_waiters();
 }
 
-/// Watches for as long as the store answers. What a peer has told meanwhile is not asked for again.
+/// Watches the targets while the store replies, always from the newest revision known, also from a peer.
 async fn watch_targets(cx: &Context, store: &Store, health: &mut Health) {
     loop {
         cx.follow.until_not_following().await;
@@ -282,20 +286,20 @@
                     sleep(pause).await;
                 }
             }
-            // Without an outage what is missing from the new list is gone.
+            // Without an outage a target that is missing from the next list has been removed.
             Err(e) => return record_watch_error(cx, Watched::Targets, health, &e),
         }
     }
 }
 
-/// Takes changes of the list in, from the store or from a peer that watches it, up to a revision.
+/// Applies changes of the list up to a revision, from the store or from the peer that watches it.
 pub fn apply_changes(cx: &Context, changes: Vec<TargetChange>, revision: u64) {
     let mut lines = Vec::new();
     let mut ranked = Vec::new();
     let any = !changes.is_empty();
     {
         let mut state = cx.state();
-        // What a peer tells can be older than what the store has told since.
+        // A peer's changes can be older than those received from the store.
         if revision < state.view.revision {
             return;
         }
@@ -332,10 +336,10 @@
     }
 }
 
-/// Says once when the store is lost and once when it is regained.
+/// Logs once when calls of the store begin to fail and once when they succeed again.
 struct Health {
     part: &'static str,
-    /// Calls in a row that have failed.
+    /// Consecutive failed calls.
     failures: u32,
 }
 
@@ -344,7 +348,7 @@
         Self { part, failures: 0 }
     }
 
-    /// Returns whether it was away.
+    /// Records a successful call. Returns whether the previous one had failed.
     fn ok(&mut self) -> bool {
         let was = std::mem::take(&mut self.failures) > 0;
         if was {
@@ -365,9 +369,9 @@
         self.failures = self.failures.saturating_add(1);
     }
 
-    /// How long to wait before the next call.
+    /// The pause before the next call.
     fn pause(&self) -> Duration {
-        // Beyond a few doublings the bound decides.
+        // After a few doublings the bound applies.
         let doublings = self.failures.saturating_sub(1).min(4);
         (RETRY_PAUSE * 2_u32.pow(doublings)).min(MAX_RETRY_PAUSE)
     }
--- a/crates/stair-relay/src/select.rs
+++ b/crates/stair-relay/src/select.rs
@@ -1,4 +1,4 @@
-//! Chooses a target for a request, or has one loaded and waits for it.
+//! Selects a target for a request, or has the model loaded at one and waits for it.
 
 use std::{
     net::SocketAddr,
@@ -49,61 +49,63 @@
     },
 };
 
-/// Time for an agent to bring an adapter, which may have to wait for a place.
+/// Limit for an agent to load an adapter, which may have to wait for free memory.
 const ADAPTER_TIMEOUT: Duration = Duration::from_millis(1500);
 
-/// Time for which a further replica is of use: as long as requests wait for the slow one.
+/// Time for which a load of another replica is of use: as long as requests wait for the slow one.
 const REPLICA_TTL: Duration = Duration::from_secs(2);
 
-/// Time that is left for the run itself when a load is waited for.
+/// Time reserved for the run itself while a request waits for a load or a prefill slot.
 pub(crate) const RUN_DURATION: Duration = Duration::from_millis(400);
 
-/// Retry-After if nothing says when a target will be free.
+/// Retry-After when it is unknown when a target will be free.
 pub(crate) const DEFAULT_RETRY_AFTER: Duration = Duration::from_millis(700);
 
-/// Rounds in which one request may look for a target, lest it go on for ever between agents that refuse it.
+/// Rounds of one search. The limit ends a search in which agents refuse the request again and again.
 const MAX_ROUNDS: u32 = 12;
 
-/// The part of its time that a request waits for an engine that is down; the rest is for its client's return.
+/// A request waits for an engine that is down for its time divided by this; the rest is left for the client's
+/// retry.
 const OUTAGE_WAIT_DIVISOR: u32 = 2;
 
-/// Pause between looks for a target.
+/// Interval in which a waiting request searches for a target again.
 pub(crate) const CHECK_INTERVAL: Duration = Duration::from_millis(300);
 
-/// Engines that may fail to bring the request's adapter before one is sent to all the same.
+/// Engines that may fail to load the request's adapter; after that a request is sent to an engine without it.
 const MAX_REFUSED: usize = 2;
 
-/// Engines that may refuse a prefill slot before a late answer is taken: reports lag behind answers.
+/// Engines that may refuse a prefill slot before a late response is accepted. More than one is tried, as
+/// reports of load lag behind the agents' replies.
 pub(crate) const MAX_FULL: u32 = 2;
 
-/// Where a request goes.
+/// The target that a request is sent to.
 pub struct Selected {
-    /// It counts at the target from here on.
+    /// Counts the request at the target from now on.
     pub in_flight: InFlight,
     /// The target's address.
     pub addr: SocketAddr,
     /// The target's id.
     pub id: Box<str>,
-    /// The estimate that decided, in milliseconds.
+    /// The estimated wait by which the target was chosen, in milliseconds.
     pub wait_ms: f64,
-    /// Time that the target takes until the prompt is read, 0 if that is not known.
+    /// Estimated time until the target has finished the prefill; 0 if unknown.
     pub reads: Duration,
-    /// When it was picked, right before the request is sent.
+    /// Time of the selection, right before the request is sent.
     pub selected_at: Instant,
 }
 
-/// Nothing can run the request in time; when to come back.
+/// No target can run the request in time.
 pub struct NoTarget {
-    /// When to come back.
+    /// The delay after which a retry may succeed.
     pub retry_after: Duration,
 }
 
-/// Chooses a target that has not been tried, until `until`. The time in which the route promises an
-/// event began at `since`.
+/// Selects a target that is not in `tried`, until `until`. The time in which the route promises an event
+/// began at `since`.
 ///
 /// # Errors
 ///
-/// [`NoTarget`] as soon as it is clear that none can run the request in time.
+/// [`NoTarget`] as soon as it is known that none can run the request in time.
 pub async fn select(
     cx: &Arc<Context>,
     job: &Job,
@@ -155,7 +157,7 @@
         };
         match loaded {
             None | Some(Loaded::Ready) => {}
-            // Bounded by the deadline.
+            // Not counted as a round: the deadline bounds these waits.
             Some(Loaded::Waited) => continue,
             Some(Loaded::Refused(key)) => search.refused.push(key),
             Some(Loaded::EngineDown) => {
@@ -185,7 +187,7 @@
     }
 }
 
-/// A target under suspicion is better than none.
+/// Selects a suspect target, which is better than none.
 async fn select_suspect(
     cx: &Arc<Context>,
     job: &Job,
@@ -216,13 +218,13 @@
     }
 }
 
-/// What came of the looks for a target so far.
+/// The state of the search for a target.
 struct Search {
-    /// Engines that would not load what is needed.
+    /// Engines that refused to load the model or the adapter.
     refused: Vec<TargetKey>,
-    /// What the next slot is asked for with.
+    /// The options of the next request for a prefill slot.
     reservation: prefill::Options,
-    /// Whether a further replica was requested.
+    /// Whether another replica was requested.
     replica_requested: bool,
 }
 
@@ -243,15 +245,15 @@
 
 enum Step {
     Selected(Selected),
-    /// Look again: something is known now that was not.
+    /// Search again with the state that has changed.
     Retry,
-    /// The slot would come too late everywhere.
+    /// No engine has a prefill slot in time; the shortest wait known.
     SlotTooLate(Duration),
-    /// No target can run it now.
+    /// No target can run the request now, so the model has to be loaded.
     Load,
 }
 
-/// Has the adapter and the slot at a target, as far as possible.
+/// Has the adapter loaded and a prefill slot reserved at a target, if its agent can be reached.
 async fn prepare(cx: &Arc<Context>, job: &Job, at: choose::Outcome, search: &mut Search) -> Step {
     if !ensure_adapter(cx, job, at.key, search.reservation.until).await {
         search.refused.push(at.key);
@@ -274,7 +276,7 @@
     }
 }
 
-/// Has a further replica loaded for the requests that follow, once for each request.
+/// Requests another replica for later requests, at most once for each request.
 fn request_replica(
     cx: &Arc<Context>,
     job: &Job,
@@ -285,14 +287,15 @@
         && !std::mem::replace(&mut search.replica_requested, true)
     {
         log_load(job, model, placement, "beside");
-        // The next report tells what came of it.
+        // The agent's next report shows the outcome.
         if let Some(mut pending) = request(cx, model, placement, REPLICA_TTL, true) {
             pending.detach();
         }
     }
 }
 
-/// The place for a further replica of a model whose best target is slow.
+/// The placement of another replica for a model whose best target is slow. It must not come from the weight
+/// store.
 pub(crate) fn replica_placement(
     cx: &Arc<Context>,
     job: &Job,
@@ -325,8 +328,8 @@
     choose::choose(&cx.state().view, &opts, cx.now())
 }
 
-/// Returns where the request goes, unless the target has left while an adapter or a slot was waited for:
-/// what is sent to it after that is lost.
+/// Returns the selected target, unless it has announced its shutdown while an adapter or a slot was waited
+/// for: a request sent there would be lost.
 fn dispatch(
     cx: &Arc<Context>,
     job: &Job,
@@ -375,7 +378,8 @@
     })
 }
 
-/// Makes sure that the adapter is at the target, as far as its agent can be reached.
+/// Has the adapter loaded at the target unless it is there. Returns false when it could not be loaded in
+/// time.
 async fn ensure_adapter(cx: &Arc<Context>, job: &Job, key: TargetKey, until: Instant) -> bool {
     let (Some(model), Some(adapter)) = (&job.meta.model, &job.meta.adapter) else {
         return true;
--- a/crates/stair-relay/src/serve.rs
+++ b/crates/stair-relay/src/serve.rs
@@ -1,4 +1,4 @@
-//! Listens to clients, to the balancer and to whoever reads metrics.
+//! Listeners for clients, for the balancer's readiness probes and for metrics.
 
 use std::{
     convert::Infallible,
@@ -48,18 +48,18 @@
     relay, //
 };
 
-/// Connections of clients open at once. An entry VM has some four thousand descriptors, and each
-/// request needs one more for its target.
+/// Limit of open client connections. An entry VM has about 4000 file descriptors, and each request uses a
+/// second one for its target.
 const MAX_CONNECTIONS: usize = 1800;
 
-/// Least size of the buffer for a request's head that the HTTP library takes.
+/// Smallest buffer for a request's head that the HTTP library accepts.
 const MIN_HEAD_BYTES: usize = 8192;
 
-/// Time beyond the declared one after which an idle connection is closed: a client that uses one
-/// just before its time is up must not meet the close.
+/// Time beyond the declared idle time after which an idle connection is closed. A client that reuses a
+/// connection right before its own idle limit must not meet a close.
 const IDLE_SLACK: Duration = Duration::from_millis(1000);
 
-/// Accepts clients for as long as the process runs.
+/// Accepts client connections until the process ends.
 pub async fn clients(cx: Arc<Context>, listener: TcpListener) {
     let slots = Arc::new(Semaphore::new(MAX_CONNECTIONS));
     loop {
@@ -74,14 +74,14 @@
                     drop(slot);
                 });
             }
-            // Out of descriptors, for instance: accepting again at once would spin.
+            // Accepting again at once would spin, for instance when file descriptors have run out.
             Err(_) => tokio::time::sleep(Duration::from_millis(20)).await,
         }
     }
 }
 
 async fn connection(cx: Arc<Context>, stream: TcpStream) {
-    // Without it a small answer may wait some milliseconds; it still arrives.
+    // Only a latency option: a small response may wait some milliseconds without it.
     let _ = stream.set_nodelay(true);
     let limits = cx
         .state()
@@ -99,7 +99,7 @@
         .header_read_timeout(head_time)
         .max_buf_size(limits.head_bytes.max(MIN_HEAD_BYTES))
         .serve_connection(TokioIo::new(stream), service);
-    // What fails here is the client's connection; its requests have their own lines.
+    // An error here concerns only the client's connection; requests are logged on their own.
     let _ = conn.await;
 }
 
@@ -112,7 +112,7 @@
     resp
 }
 
-/// Answers the balancer until `stop` turns true.
+/// Serves readiness probes of the balancer until `stop` turns true.
 pub async fn readiness(cx: Arc<Context>, listener: TcpListener, stop: watch::Receiver<bool>) {
     let handler = move |_: Request<Incoming>| {
         let ready = cx.ready();
@@ -127,7 +127,7 @@
     server::serve(listener, server::Options::default(), stop, handler).await;
 }
 
-/// Serves metrics and state dump until `stop` turns true.
+/// Serves metrics and the state dump until `stop` turns true.
 pub async fn metrics(cx: Arc<Context>, listener: TcpListener, stop: watch::Receiver<bool>) {
     let dumped = cx.clone();
     let opts = observe::Options {
--- a/crates/stair-relay/src/stream.rs
+++ b/crates/stair-relay/src/stream.rs
@@ -1,7 +1,8 @@
-//! Passes the events of a stream to the client, and resumes it at another target.
+//! Forwards the events of a stream to the client, and resumes the stream at another target.
 //!
-//! Invariants: only whole events are passed, each once and in order; the client's answer is complete only if a target
-//! completed it. A stream that breaks is resumed after its last event where its route allows it, and otherwise cut.
+//! Invariants: only whole events are forwarded, each once and in order; the client's response is complete
+//! only if a target completed it. A stream that breaks is resumed after its last event where the route allows
+//! it, and otherwise truncated.
 
 use std::{
     sync::Arc,
@@ -52,18 +53,20 @@
     select::Selected,
 };
 
-/// Events waiting for a client that reads slowly.
+/// Events buffered for a client that reads slowly.
 const QUEUE: usize = 16;
 
-/// A client leaves a stream after a pause that follows from its route; after this part of it another target
-/// is looked for. An engine that is merely busy, or reads a request anew after it ran out of memory, is
-/// heard again before that, and the rest is enough to go on elsewhere.
+/// Another target is searched for after the longest pause that the client accepts by its route, divided by
+/// this. An engine that is only busy, or that repeats a prefill after it ran out of memory, sends an event
+/// before that. The rest of the pause is enough to resume at another target.
 const HUNG_DIVISOR: u32 = 2;
 
-/// Time for the first event of a repeatable request for which a target is not taken for hung.
+/// Lower bound of the time for the first event of a repeatable request, before [`FIRST_EVENT_FACTOR`]
+/// applies.
 const MIN_FIRST_EVENT_TIMEOUT: Duration = Duration::from_millis(1500);
 
-/// So many times that, or the objective where it is longer, until the request is tried elsewhere.
+/// Multiple of that bound, or of the objective where it is longer, after which the request is tried at
+/// another target.
 const FIRST_EVENT_FACTOR: u32 = 2;
 
 enum Next {
@@ -74,18 +77,18 @@
 }
 
 struct Source {
-    /// When the head of the answer came.
+    /// When the head of the response arrived.
     begun: Instant,
     live: LiveResponse,
     in_flight: InFlight,
     split: Splitter,
 }
 
-/// Waits for the first event, then passes the stream on in a task of its own.
+/// Waits for the first event, then forwards the stream in a task of its own.
 ///
 /// # Errors
 ///
-/// Why the stream broke before its first event.
+/// The reason why the stream broke before its first event.
 pub async fn open(
     cx: &Arc<Context>,
     job: &Arc<Job>,
@@ -195,18 +198,18 @@
     first: Duration,
     longest_pause: Duration,
     passed_at: Instant,
-    /// The last target whose VM was found to stand still; another one is looked for at once, and after that
-    /// as for any silent target.
+    /// The last target that was abandoned because its VM was found to be unresponsive. Another one is
+    /// searched for at once; after that the target is treated like any silent one.
     abandoned_as_unresponsive: Option<TargetKey>,
     tx: mpsc::Sender<Option<Bytes>>,
 }
 
-/// What came while a stream's target was listened to.
+/// The result of waiting for the next event of a stream.
 enum Received {
     Next(Next),
-    /// Silence, and no other target takes the stream.
+    /// The target is silent, and no other target takes the stream.
     Silent,
-    /// Silence, and another target takes the stream.
+    /// The target is silent, and another target takes the stream.
     OtherTarget(Selected),
     ClientGone,
 }
@@ -240,12 +243,12 @@
             Ended::Truncated(_) => "cut",
         };
         self.cx.page.count("streams_total", &[("end", kind)], 1);
-        // One sample a stream: a sample an event would cost the entry more than passing it on.
+        // One sample for each stream; one for each event would cost more than forwarding the event.
         let pause = self.longest_pause;
         self.cx.page.time("longest_pause_ms", &[], pause);
         if matches!(ended, Ended::Complete) {
             quarantine::survived(&self.cx, &self.job);
-            // A client that is gone by now has no use for the end.
+            // A client that has disconnected by now does not need the end of the body.
             let _ = self.tx.send(None).await;
         }
     }
@@ -267,7 +270,7 @@
                 Received::Next(Next::End) => return Ended::Complete,
                 Received::Next(Next::Broken(e)) => (e, None),
                 Received::Next(Next::Late) => ("no event in time".into(), None),
-                // It is left to its target, which may only be busy.
+                // The stream stays at its target, which may only be busy.
                 Received::Silent => continue,
                 Received::OtherTarget(target) => ("no event in time".into(), Some(target)),
                 Received::ClientGone => return Ended::ClientGone,
@@ -285,7 +288,7 @@
         }
     }
 
-    /// Waits for the target; after a long silence also for another one that would take the stream.
+    /// Waits for the next event; after a long silence also for another target that takes the stream.
     async fn receive(&mut self, source: &mut Source) -> Received {
         let (cx, job, tx) = (self.cx.clone(), self.job.clone(), self.tx.clone());
         let until = self.pause_deadline();
@@ -314,7 +317,7 @@
         }
     }
 
-    /// Passes one event on.
+    /// Forwards one event unless the client already has it.
     async fn pass(&mut self, event: Event) -> Option<Ended> {
         match (event.id, self.last) {
             (Some(id), Some(last)) if id <= last => return None,
@@ -345,7 +348,7 @@
         (Instant::now() + pause).min(self.job.deadline)
     }
 
-    /// Sends the request to a place that was found for it, or else to one that is found now.
+    /// Sends the request to the target that was selected for it, or else selects one now.
     async fn send(&mut self, target: Option<Selected>) -> Option<(Selected, attempt::Outcome)> {
         let (cx, job) = (&self.cx, &self.job);
         let Some(selected) = target else {
@@ -357,8 +360,8 @@
         Some((selected, outcome))
     }
 
-    /// Goes on at another target after the last event; at first at the one that was found for it, which
-    /// has been paid for.
+    /// Resumes the stream at another target after the last event. The first attempt goes to `target`, if
+    /// given, whose retry has been taken from the budget.
     async fn resume(&mut self, mut target: Option<Selected>) -> Option<Source> {
         let resumable = self.job.route.repeat == Repeat::FromEvent;
         while resumable
@@ -395,10 +398,10 @@
     }
 }
 
-/// Looks for another target for a stream whose own is silent, and pays for the retry.
+/// Assigns a silent stream to another target and takes the retry from the budget.
 ///
-/// A client whose answer is cut for a silence has nothing; were the stream given up before it is known
-/// that another target takes it, that would happen wherever all are busy.
+/// The stream is abandoned only when another target takes it. Otherwise streams would be truncated whenever
+/// all targets are busy, and their clients would get nothing for the wait.
 async fn assign_elsewhere(
     cx: &Arc<Context>,
     job: &Job,
