--- a/crates/stair-relay/src/admit.rs
+++ b/crates/stair-relay/src/admit.rs
@@ -148,13 +148,13 @@
         _serving: serving,
     };
     quarantine::admit(cx, &job)?;
-    job.grant = take_quota(cx, &job).await?;
+    job.grant = charge_quota(cx, &job).await?;
     cx.count_request(&job.service);
     log_request(&job, wait);
     Ok(job)
 }
 
-async fn take_quota(cx: &Arc<Context>, job: &Job) -> Result<Option<Grant>, Refusal> {
+async fn charge_quota(cx: &Arc<Context>, job: &Job) -> Result<Option<Grant>, Refusal> {
     let Some(workspace) = &job.workspace else {
         return Ok(None);
     };
@@ -167,7 +167,7 @@
             .saturating_add(job.meta.answer_tokens),
         objective: job.route.objective,
     };
-    quota::take(cx, workspace, &opts).await
+    quota::charge(cx, workspace, &opts).await
 }
 
 fn log_request(job: &Job, wait: Duration) {
--- a/crates/stair-relay/src/assign.rs
+++ b/crates/stair-relay/src/assign.rs
@@ -84,7 +84,7 @@
     tokio::select! {
         selected = select_permitted(cx, job, excluded, since, until) => selected,
         // A request that still waits when the process ends would get no response at all.
-        () = cx.ending(STOP_REFUSAL_MARGIN) => Err(NotAssigned::no_target(STOPPING_RETRY_AFTER)),
+        () = cx.until_ending(STOP_REFUSAL_MARGIN) => Err(NotAssigned::no_target(STOPPING_RETRY_AFTER)),
     }
 }
 
--- a/crates/stair-relay/src/context.rs
+++ b/crates/stair-relay/src/context.rs
@@ -143,7 +143,7 @@
     /// The last incarnation that the engine has disowned.
     pub stale_incarnation: Option<Box<str>>,
     /// Prefill durations that have not been reported to the agent.
-    pub read: Vec<Read>,
+    pub prefill_times: Vec<Read>,
     /// Load requests that wait for a reply, by sequence number.
     pub pending_loads: Vec<(u64, oneshot::Sender<Outcome>)>,
     /// Requests for a prefill slot that wait for a reply, by sequence number.
@@ -220,7 +220,7 @@
     }
 
     /// Waits until `left` remains before the process ends.
-    pub async fn ending(&self, left: Duration) {
+    pub async fn until_ending(&self, left: Duration) {
         let mut rx = self.ends_at.subscribe();
         // The sender lives as long as the context.
         let ends_at = rx.wait_for(Option::is_some).await.map(|at| *at);
@@ -243,7 +243,7 @@
 
     /// Waits for a catalogue. No target can be used without one, and each call of the store for their list is
     /// charged.
-    pub async fn declared(&self) {
+    pub async fn until_declared(&self) {
         loop {
             let changed = self.changed.notified();
             if self.state().catalogue.is_some() {
--- a/crates/stair-relay/src/context/agents.rs
+++ b/crates/stair-relay/src/context/agents.rs
@@ -78,7 +78,7 @@
         let mut state = self.state();
         let engine = state.view.get(key).target.addr;
         if let Some(i) = state.agent(engine) {
-            state.agents[i].read.push(Read {
+            state.agents[i].prefill_times.push(Read {
                 model: model.into(),
                 reads,
                 took,
--- a/crates/stair-relay/src/context/in_flight.rs
+++ b/crates/stair-relay/src/context/in_flight.rs
@@ -68,7 +68,7 @@
     }
 
     /// Records that the engine has finished the prefill of the prompt.
-    pub fn read(&mut self) {
+    pub fn mark_read(&mut self) {
         let unread = std::mem::take(&mut self.unread);
         let mut state = self.cx.state();
         let target_state = state.view.get_mut(self.key);
@@ -78,7 +78,7 @@
 
 impl Drop for InFlight {
     fn drop(&mut self) {
-        self.read();
+        self.mark_read();
         let mut state = self.cx.state();
         let target_state = state.view.get_mut(self.key);
         target_state.in_flight = target_state.in_flight.saturating_sub(1);
--- a/crates/stair-relay/src/context/usage.rs
+++ b/crates/stair-relay/src/context/usage.rs
@@ -50,9 +50,11 @@
     }
 
     /// Takes the prefill durations at an engine that have not been reported to its agent.
-    pub fn take_read(&mut self, engine: SocketAddr) -> Vec<Read> {
+    pub fn take_prefill_times(&mut self, engine: SocketAddr) -> Vec<Read> {
         let i = self.agent(engine);
-        i.map_or_else(Vec::new, |i| std::mem::take(&mut self.agents[i].read))
+        i.map_or_else(Vec::new, |i| {
+            std::mem::take(&mut self.agents[i].prefill_times)
+        })
     }
 
     /// Takes the use that has not been reported to an engine's agent; with `whole`, all of it, for a new
--- a/crates/stair-relay/src/crash.rs
+++ b/crates/stair-relay/src/crash.rs
@@ -250,7 +250,7 @@
     let begun = Instant::now();
     let until = begun + ending.watch_window();
     let refused = ending == Ending::Interrupted && is_refused(addr, begun).await;
-    if refused || is_lost(&cx, &incarnation, until).await {
+    if refused || wait_until_lost(&cx, &incarnation, until).await {
         report(&cx, &incarnation, addr);
     }
     // Runs interrupted later at this target are still reported.
@@ -274,7 +274,7 @@
 
 /// Waits until the list lacks the target or its agent reports it dead. Returns false when the target
 /// announces its shutdown, or still runs at `until`.
-async fn is_lost(cx: &Context, incarnation: &Incarnation, until: Instant) -> bool {
+async fn wait_until_lost(cx: &Context, incarnation: &Incarnation, until: Instant) -> bool {
     while Instant::now() < until {
         {
             let now = cx.now();
--- a/crates/stair-relay/src/links.rs
+++ b/crates/stair-relay/src/links.rs
@@ -91,7 +91,7 @@
                 tx,
                 entries: 0,
                 stale_incarnation: None,
-                read: Vec::new(),
+                prefill_times: Vec::new(),
                 pending_loads: Vec::new(),
                 pending_slots: Vec::new(),
             };
@@ -205,7 +205,7 @@
         state.agents[i].linked = false;
         state.agents[i].pending_loads.clear();
         state.agents[i].pending_slots.clear();
-        state.agents[i].read.clear();
+        state.agents[i].prefill_times.clear();
     }
     state.owners.clear();
     state.quotas.link_ended(engine);
@@ -402,7 +402,7 @@
     if !used.is_empty() {
         out.push(ToAgent::Used(used));
     }
-    let read = state.take_read(engine);
+    let read = state.take_prefill_times(engine);
     if !read.is_empty() {
         out.push(ToAgent::Read(read));
     }
--- a/crates/stair-relay/src/load.rs
+++ b/crates/stair-relay/src/load.rs
@@ -140,7 +140,7 @@
         .show("outcome", format_args!("{outcome:?}"))
         .ms("took_ms", begun.elapsed())
         .write();
-    let from = [("from", source(at.from))];
+    let from = [("from", copy_label(at.from))];
     cx.page.time("wake_ms", &from, begun.elapsed());
     match outcome {
         Ok(msg::Outcome::Ready) => {
@@ -162,8 +162,8 @@
     until: Instant,
 ) -> Option<Result<msg::Outcome, RecvError>> {
     loop {
-        let look = Instant::now() + CHECK_INTERVAL;
-        if let Ok(outcome) = timeout_at(look.min(until), pending.outcome()).await {
+        let check_at = Instant::now() + CHECK_INTERVAL;
+        if let Ok(outcome) = timeout_at(check_at.min(until), pending.outcome()).await {
             return Some(outcome);
         }
         if Instant::now() >= until {
@@ -228,7 +228,7 @@
         of_use,
     };
     let pending = cx.request_load(addr, req)?;
-    let from = [("from", source(at.from))];
+    let from = [("from", copy_label(at.from))];
     cx.page.count("loads_asked_total", &from, 1);
     let mut state = cx.state();
     if let Some((report, _)) = &mut state.view.get_mut(at.key).report
@@ -258,7 +258,7 @@
 }
 
 /// The metric label of the location of a copy.
-fn source(from: Copy) -> &'static str {
+fn copy_label(from: Copy) -> &'static str {
     match from {
         Copy::Memory => "memory",
         Copy::Disk => "disk",
--- a/crates/stair-relay/src/peers.rs
+++ b/crates/stair-relay/src/peers.rs
@@ -71,7 +71,7 @@
 }
 
 /// Fetches newer state from a peer that has some, until the process ends.
-pub async fn follow(cx: Arc<Context>) {
+pub async fn fetch_newer(cx: Arc<Context>) {
     loop {
         sleep(CHECK_INTERVAL).await;
         let own = cx.replication_state();
--- a/crates/stair-relay/src/process.rs
+++ b/crates/stair-relay/src/process.rs
@@ -92,7 +92,7 @@
         tasks.spawn(links::keep(cx.clone()));
         tasks.spawn(links::detect_unresponsive(cx.clone()));
         tasks.spawn(peers::serve(cx.clone(), self.inner));
-        tasks.spawn(peers::follow(cx.clone()));
+        tasks.spawn(peers::fetch_newer(cx.clone()));
         tasks.spawn(follow::keep(cx.clone()));
         tasks.spawn(prefetch::keep(cx.clone()));
         tasks.spawn(serve::readiness(cx.clone(), self.ready, never.clone()));
--- a/crates/stair-relay/src/quota.rs
+++ b/crates/stair-relay/src/quota.rs
@@ -147,7 +147,7 @@
 /// # Errors
 ///
 /// The refusal of a request that exceeds the quota of its workspace.
-pub(crate) async fn take(
+pub(crate) async fn charge(
     cx: &Arc<Context>,
     workspace: &Workspace,
     opts: &Options<'_>,
@@ -156,7 +156,7 @@
         return Ok(None);
     };
     let cost = allowance.unit.cost(opts.tokens);
-    let mut ask = Ask {
+    let mut request = Ask {
         workspace: workspace.name.clone(),
         version: opts.version,
         allowance,
@@ -166,64 +166,64 @@
         stand_in: false,
     };
     let small = cost <= allowance.burst * SMALL_FRACTION;
-    ask.passed = small && !cx.state().quotas.is_overdrawn(&ask.workspace, cx.now());
-    let (answer, by) = match request_from_agents(cx, &mut ask).await {
+    request.passed = small && !cx.state().quotas.is_overdrawn(&request.workspace, cx.now());
+    let (reply, by) = match request_from_agents(cx, &mut request).await {
         Some(both) => both,
-        None => (take_share(cx, &ask), CountedBy::Entry),
+        None => (charge_share(cx, &request), CountedBy::Entry),
     };
-    count(cx, &answer, by);
-    if !answer.granted {
+    count_outcome(cx, &reply, by);
+    if !reply.granted {
         Line::failure("allowance.refused")
             .text("id", opts.id)
-            .text("workspace", &ask.workspace)
+            .text("workspace", &request.workspace)
             .num("cost", cost as i64)
             .show("by", format_args!("{by:?}"))
-            .ms("come_back_ms", answer.wait)
+            .ms("come_back_ms", reply.wait)
             .write();
-        let retry_after = Some(answer.wait);
+        let retry_after = Some(reply.wait);
         return Err(Refusal::not_run(Reason::OverQuota, retry_after));
     }
     let grant = Grant {
         cx: cx.clone(),
-        workspace: ask.workspace,
+        workspace: request.workspace,
         cost,
         by,
         may_have_run: AtomicBool::new(false),
     };
     // A request that was passed does not wait, even if its workspace is overdrawn.
-    if !ask.passed && !answer.wait.is_zero() {
-        sleep(answer.wait).await;
+    if !request.passed && !reply.wait.is_zero() {
+        sleep(reply.wait).await;
     }
     Ok(Some(grant))
 }
 
-fn count(cx: &Context, answer: &Answer, by: CountedBy) {
+fn count_outcome(cx: &Context, reply: &Answer, by: CountedBy) {
     let by = match by {
         CountedBy::Agent(_) => "agent",
         CountedBy::Entry => "entry",
     };
-    let outcome = if answer.granted { "granted" } else { "refused" };
+    let outcome = if reply.granted { "granted" } else { "refused" };
     let labels = [("by", by), ("outcome", outcome)];
     cx.page.count("allowances_total", &labels, 1);
 }
 
-async fn request_from_agents(cx: &Arc<Context>, ask: &mut Ask) -> Option<(Answer, CountedBy)> {
+async fn request_from_agents(cx: &Arc<Context>, request: &mut Ask) -> Option<(Answer, CountedBy)> {
     for _ in 0..MAX_AGENTS {
         let now = cx.now();
-        let (engine, rx) = cx.state().request_quota(ask, now)?;
+        let (engine, rx) = cx.state().request_quota(request, now)?;
         let by = CountedBy::Agent(engine);
         let Some(rx) = rx else {
-            let answer = Answer {
+            let reply = Answer {
                 granted: true,
                 wait: Duration::ZERO,
             };
-            return Some((answer, by));
+            return Some((reply, by));
         };
-        if let Ok(Ok(answer)) = timeout(REPLY_TIMEOUT, rx).await {
-            return Some((answer, by));
+        if let Ok(Ok(reply)) = timeout(REPLY_TIMEOUT, rx).await {
+            return Some((reply, by));
         }
         Line::failure("allowance.unanswered")
-            .text("workspace", &ask.workspace)
+            .text("workspace", &request.workspace)
             .show("engine", engine)
             .write();
         cx.state().skip_agent(engine, cx.now() + SKIP_DURATION);
@@ -232,23 +232,23 @@
 }
 
 /// Charges this entry's own share.
-fn take_share(cx: &Context, ask: &Ask) -> Answer {
+fn charge_share(cx: &Context, request: &Ask) -> Answer {
     let now = cx.now();
     let entries = cx.entries();
-    let part: Allowance = share(ask.allowance, entries);
+    let own_share: Allowance = share(request.allowance, entries);
     let mut state = cx.state();
     let shares = &mut state.quotas.shares;
-    let i = position(shares, &ask.workspace).unwrap_or_else(|i| {
-        shares.insert(i, (ask.workspace.clone(), Bucket::new(part, now)));
+    let i = position(shares, &request.workspace).unwrap_or_else(|i| {
+        shares.insert(i, (request.workspace.clone(), Bucket::new(own_share, now)));
         i
     });
     let bucket = &mut shares[i].1;
-    bucket.set(part, now);
-    bucket.spend(ask.cost, ask.limit, now)
+    bucket.set(own_share, now);
+    bucket.spend(request.cost, request.limit, now)
 }
 
 /// Handles an agent's reply.
-pub(crate) fn receive_reply(cx: &Context, engine: SocketAddr, seq: u64, answer: Answer) {
+pub(crate) fn receive_reply(cx: &Context, engine: SocketAddr, seq: u64, reply: Answer) {
     let now = cx.now();
     let mut state = cx.state();
     let pending = &mut state.quotas.pending;
@@ -259,9 +259,9 @@
         return;
     };
     let one = pending.swap_remove(i);
-    state.quotas.note_wait(&one.workspace, now + answer.wait);
-    let unused = one.tx.is_some_and(|tx| tx.send(answer).is_err());
-    if unused && answer.granted {
+    state.quotas.record_wait(&one.workspace, now + reply.wait);
+    let unused = one.tx.is_some_and(|tx| tx.send(reply).is_err());
+    if unused && reply.granted {
         state.refund(engine, &one.workspace, one.cost);
     }
 }
@@ -282,7 +282,7 @@
         position(&self.overdrawn, workspace).is_ok_and(|i| now < self.overdrawn[i].1)
     }
 
-    fn note_wait(&mut self, workspace: &str, until: Duration) {
+    fn record_wait(&mut self, workspace: &str, until: Duration) {
         match position(&self.overdrawn, workspace) {
             Ok(i) => self.overdrawn[i].1 = until,
             Err(i) => self.overdrawn.insert(i, (workspace.into(), until)),
@@ -294,19 +294,19 @@
     /// Sends a request to the owner of a workspace. The receiver is missing for a request that does not wait.
     fn request_quota(
         &mut self,
-        ask: &mut Ask,
+        request: &mut Ask,
         now: Duration,
     ) -> Option<(SocketAddr, Option<oneshot::Receiver<Answer>>)> {
-        let owner = self.owner(&ask.workspace, now)?;
-        ask.stand_in = owner.is_fallback;
+        let owner = self.owner(&request.workspace, now)?;
+        request.stand_in = owner.is_fallback;
         let seq = self.next_seq();
         let i = self.agent(owner.engine)?;
         let msg = ToAgent::Allow {
             seq,
-            ask: ask.clone(),
+            ask: request.clone(),
         };
         self.agents[i].tx.try_send(msg).ok()?;
-        let (tx, rx) = match ask.passed {
+        let (tx, rx) = match request.passed {
             true => (None, None),
             false => {
                 let (tx, rx) = oneshot::channel();
@@ -316,8 +316,8 @@
         self.quotas.pending.push(PendingRequest {
             seq,
             engine: owner.engine,
-            workspace: ask.workspace.clone(),
-            cost: ask.cost,
+            workspace: request.workspace.clone(),
+            cost: request.cost,
             tx,
         });
         Some((owner.engine, rx))
--- a/crates/stair-relay/src/relay.rs
+++ b/crates/stair-relay/src/relay.rs
@@ -262,15 +262,21 @@
     let req = job.request(&selected.id, after_event);
     let until = attempt_deadline(job, attempts);
     let sent = attempt::send(selected.addr, req, &job.meta.id, until);
-    let (key, leaves) = (
+    let (key, client_leaves) = (
         selected.in_flight.key(),
         selection_deadline(job, after_event),
     );
-    let gone = until_abandoned(cx, &attempts.keys, key, attempts.may_abandon(job), leaves);
+    let abandoned = until_abandoned(
+        cx,
+        &attempts.keys,
+        key,
+        attempts.may_abandon(job),
+        client_leaves,
+    );
     let unanswered = crash::UnansweredRun::new(cx, job, key);
     let outcome = tokio::select! {
         outcome = sent => outcome,
-        () = gone => attempt::Outcome::Late,
+        () = abandoned => attempt::Outcome::Late,
     };
     unanswered.finish();
     record_outcome(cx, job, attempts, selected, &outcome, begun);
--- a/crates/stair-relay/src/replicate.rs
+++ b/crates/stair-relay/src/replicate.rs
@@ -88,13 +88,13 @@
         record_call_time(&cx, "list", begun);
         match page {
             Ok(page) => {
-                health.ok();
+                health.record_success();
                 let objects = page.objects.into_iter();
                 let found = objects.filter(|o| *o.name == *catalogue::NAME);
                 found.for_each(|o| receive_catalogue(&cx, o));
                 watch_catalogue(&cx, &store, page.revision, &mut health).await;
             }
-            Err(e) => health.failed(&e),
+            Err(e) => health.record_failure(&e),
         }
         sleep(health.pause()).await;
     }
@@ -108,7 +108,7 @@
         cx.follow.expect_reply(Watched::Catalogue, wait);
         match store.watch(catalogue::KIND, since, wait).await {
             Ok(update) => {
-                health.ok();
+                health.record_success();
                 since = update.revision;
                 for change in update.changes {
                     if let Change::Put(object) = change
@@ -131,7 +131,7 @@
         return;
     }
     cx.follow.record_failure(watched);
-    health.failed(e);
+    health.record_failure(e);
 }
 
 fn receive_catalogue(cx: &Context, mut object: Object) {
@@ -173,16 +173,16 @@
 pub async fn follow_targets(cx: Arc<Context>) {
     let mut health = Health::new("targets");
     loop {
-        cx.declared().await;
+        cx.until_declared().await;
         cx.follow.until_not_following().await;
         let store = cx.store();
         match list_targets(&cx, &store).await {
             Ok((targets, revision)) => {
-                let was_unavailable = health.ok();
+                let was_unavailable = health.record_success();
                 apply_targets(&cx, targets, revision, was_unavailable);
                 watch_targets(&cx, &store, &mut health).await;
             }
-            Err(e) => health.failed(&e),
+            Err(e) => health.record_failure(&e),
         }
         sleep(health.pause()).await;
     }
@@ -270,7 +270,7 @@
         cx.follow.expect_reply(Watched::Targets, wait);
         match store.watch(target::KIND, since, wait).await {
             Ok(update) => {
-                health.ok();
+                health.record_success();
                 let changes: Vec<TargetChange> =
                     update.changes.into_iter().map(TargetChange::from).collect();
                 let any = !changes.is_empty();
@@ -349,7 +349,7 @@
     }
 
     /// Records a successful call. Returns whether the previous one had failed.
-    fn ok(&mut self) -> bool {
+    fn record_success(&mut self) -> bool {
         let was = std::mem::take(&mut self.failures) > 0;
         if was {
             Line::failure("store.regained")
@@ -359,7 +359,7 @@
         was
     }
 
-    fn failed(&mut self, e: &Error) {
+    fn record_failure(&mut self, e: &Error) {
         if self.failures == 0 {
             Line::failure("store.lost")
                 .text("part", self.part)
--- a/crates/stair-relay/src/stream.rs
+++ b/crates/stair-relay/src/stream.rs
@@ -106,12 +106,18 @@
         split: Splitter::default(),
     };
     let until = first_event_deadline(job, attempts);
-    let leaves = assign::selection_deadline(job, None);
-    let gone = relay::until_abandoned(cx, &attempts.keys, key, attempts.may_run_again(job), leaves);
+    let client_leaves = assign::selection_deadline(job, None);
+    let abandoned = relay::until_abandoned(
+        cx,
+        &attempts.keys,
+        key,
+        attempts.may_run_again(job),
+        client_leaves,
+    );
     let unanswered = crash::UnansweredRun::new(cx, job, key);
     let next = tokio::select! {
         next = source.next(until) => next,
-        () = gone => Next::Late,
+        () = abandoned => Next::Late,
     };
     unanswered.finish();
     let first = match next {
@@ -130,7 +136,7 @@
             return Err(Reason::Late);
         }
     };
-    source.in_flight.read();
+    source.in_flight.mark_read();
     if first.is_some() {
         cx.record_prefill(key, job, selected.reads, selected.selected_at.elapsed());
     }
@@ -146,10 +152,10 @@
         job: job.clone(),
         attempts: std::mem::replace(attempts, Attempts::new(cx, job)),
         last: job.meta.last_event,
-        passed: 0,
+        forwarded: 0,
         first: job.received.elapsed(),
         longest_pause: Duration::ZERO,
-        passed_at: Instant::now(),
+        forwarded_at: Instant::now(),
         abandoned_as_unresponsive: None,
         tx,
     };
@@ -193,11 +199,11 @@
     job: Arc<Job>,
     attempts: Attempts,
     last: Option<u64>,
-    passed: u64,
+    forwarded: u64,
     /// Time from the request to the first event.
     first: Duration,
     longest_pause: Duration,
-    passed_at: Instant,
+    forwarded_at: Instant,
     /// The last target that was abandoned because its VM was found to be unresponsive. Another one is
     /// searched for at once; after that the target is treated like any silent one.
     abandoned_as_unresponsive: Option<TargetKey>,
@@ -222,7 +228,7 @@
 
 impl Pump {
     async fn run(mut self, source: Source, first: Option<Event>) {
-        let ended = self.pass_all(source, first).await;
+        let ended = self.forward_all(source, first).await;
         let (line, text) = match &ended {
             Ended::Complete => (Line::new("answered"), "complete"),
             Ended::ClientGone => (Line::new("answered"), "client gone"),
@@ -230,7 +236,7 @@
         };
         line.text("id", &self.job.meta.id)
             .num("status", 200)
-            .num("events", self.passed)
+            .num("events", self.forwarded)
             .num("targets", i64::from(self.attempts.ran))
             .ms("first_ms", self.first)
             .ms("pause_ms", self.longest_pause)
@@ -253,17 +259,17 @@
         }
     }
 
-    async fn pass_all(&mut self, source: Source, first: Option<Event>) -> Ended {
+    async fn forward_all(&mut self, source: Source, first: Option<Event>) -> Ended {
         let Some(first) = first else {
             return Ended::Complete;
         };
-        if let Some(ended) = self.pass(first).await {
+        if let Some(ended) = self.forward(first).await {
             return ended;
         }
         let mut source = source;
         loop {
             let (why, target) = match self.receive(&mut source).await {
-                Received::Next(Next::Event(event)) => match self.pass(event).await {
+                Received::Next(Next::Event(event)) => match self.forward(event).await {
                     None => continue,
                     Some(ended) => return ended,
                 },
@@ -318,7 +324,7 @@
     }
 
     /// Forwards one event unless the client already has it.
-    async fn pass(&mut self, event: Event) -> Option<Ended> {
+    async fn forward(&mut self, event: Event) -> Option<Ended> {
         match (event.id, self.last) {
             (Some(id), Some(last)) if id <= last => return None,
             (Some(id), Some(last)) if id > last + 1 => {
@@ -329,9 +335,9 @@
         if event.id.is_some() {
             self.last = event.id;
         }
-        self.passed += 1;
-        self.longest_pause = self.longest_pause.max(self.passed_at.elapsed());
-        self.passed_at = Instant::now();
+        self.forwarded += 1;
+        self.longest_pause = self.longest_pause.max(self.forwarded_at.elapsed());
+        self.forwarded_at = Instant::now();
         match timeout_at(self.job.deadline, self.tx.send(Some(event.bytes))).await {
             Ok(Ok(())) => None,
             Ok(Err(_)) => Some(Ended::ClientGone),
