--- a/crates/stair-relay/src/follow.rs
+++ b/crates/stair-relay/src/follow.rs
@@ -262,11 +262,11 @@
         return Ended::NotOpened;
     };
     let own = cx.replication_state();
-    let question = PeerRequest::Follow(Versions {
+    let request = PeerRequest::Follow(Versions {
         catalogue: own.catalogue,
         targets: own.targets,
     });
-    if let Err(e) = frame::write_message(&mut stream, &question).await {
+    if let Err(e) = frame::write_message(&mut stream, &request).await {
         return e.into();
     }
     loop {
@@ -278,7 +278,7 @@
         match update {
             Update::Catalogue(catalogue) => replicate::apply_catalogue(cx, catalogue, &peer.entry),
             Update::Whole(list, revision) => {
-                replicate::apply_listed(cx, list, revision, &peer.entry)
+                replicate::apply_peer_list(cx, list, revision, &peer.entry)
             }
             Update::Changes(changes, revision) => replicate::apply_changes(cx, changes, revision),
             Update::Alive => {}
--- a/crates/stair-relay/src/peers.rs
+++ b/crates/stair-relay/src/peers.rs
@@ -128,7 +128,7 @@
         replicate::apply_catalogue(cx, catalogue, &peer.entry);
     }
     if let Some((targets, revision)) = reply.targets {
-        replicate::apply_listed(cx, targets, revision, &peer.entry);
+        replicate::apply_peer_list(cx, targets, revision, &peer.entry);
     }
 }
 
--- a/crates/stair-relay/src/replicate.rs
+++ b/crates/stair-relay/src/replicate.rs
@@ -179,7 +179,7 @@
         match list_targets(&cx, &store).await {
             Ok((targets, revision)) => {
                 let was_unavailable = health.record_success();
-                apply_targets(&cx, targets, revision, was_unavailable);
+                apply_store_list(&cx, targets, revision, was_unavailable);
                 watch_targets(&cx, &store, &mut health).await;
             }
             Err(e) => health.record_failure(&e),
@@ -215,7 +215,7 @@
 
 /// Applies a whole list from the store. A target that is missing after an outage of the store gets
 /// [`MISSING_GRACE`], as its announcement may only be late.
-fn apply_targets(cx: &Context, targets: Vec<Target>, revision: u64, was_unavailable: bool) {
+fn apply_store_list(cx: &Context, targets: Vec<Target>, revision: u64, was_unavailable: bool) {
     let now = cx.now();
     let grace = if was_unavailable {
         MISSING_GRACE
@@ -236,7 +236,7 @@
 }
 
 /// Applies the list of a peer, unless this entry's is as new.
-pub fn apply_listed(cx: &Context, listed: Vec<Listed>, revision: u64, peer: &str) {
+pub fn apply_peer_list(cx: &Context, listed: Vec<Listed>, revision: u64, peer: &str) {
     let count = listed.len() as i64;
     {
         let mut state = cx.state();
