--- a/crates/stair-relay/src/attempt.rs
+++ b/crates/stair-relay/src/attempt.rs
@@ -132,7 +132,7 @@
             instance,
             status,
         },
-        Said::Stray => Outcome::Lost("not an answer to this request".into()),
+        Said::Stray => Outcome::Lost("not a response to this request".into()),
         Said::Answer => Outcome::Head(LiveResponse {
             head,
             body,
@@ -170,13 +170,13 @@
         let mut all = Vec::new();
         loop {
             match timeout_at(until, self.chunk()).await {
-                Err(_) => return Err("the answer was not complete in time".into()),
+                Err(_) => return Err("the response was not complete in time".into()),
                 Ok(Err(e)) => return Err(e.to_string().into()),
                 Ok(Ok(None)) => return Ok(all.into()),
                 Ok(Ok(Some(data))) if all.len() + data.len() <= MAX_BODY_BYTES => {
                     all.extend_from_slice(&data);
                 }
-                Ok(Ok(Some(_))) => return Err("the answer is too long".into()),
+                Ok(Ok(Some(_))) => return Err("the response body is too large".into()),
             }
         }
     }
--- a/crates/stair-relay/src/context.rs
+++ b/crates/stair-relay/src/context.rs
@@ -77,7 +77,7 @@
 
 /// The shared context of one entry.
 pub struct Context {
-    /// The settings at the start; [`Context::reload`] replaces some of them.
+    /// The settings at the start; [`Context::reload`] does not change these.
     pub settings: GatewaySettings,
     /// Counters and histograms.
     pub page: Page,
@@ -134,7 +134,7 @@
     pub name: Box<str>,
     /// Whether the link is up.
     pub linked: bool,
-    /// The agent is not used as an owner or for a ledger until then, since it did not reply in time.
+    /// Until then the agent is not used as an owner or for a ledger, since it did not reply in time.
     pub skipped_until: Duration,
     /// Messages to the agent.
     pub tx: mpsc::Sender<ToAgent>,
--- a/crates/stair-relay/src/context/in_flight.rs
+++ b/crates/stair-relay/src/context/in_flight.rs
@@ -62,7 +62,7 @@
         self._trial = trial.map(Box::new);
     }
 
-    /// The target.
+    /// The target that the request was sent to.
     pub fn key(&self) -> TargetKey {
         self.key
     }
--- a/crates/stair-relay/src/follow.rs
+++ b/crates/stair-relay/src/follow.rs
@@ -248,9 +248,9 @@
 /// Why a peer is no longer followed.
 #[derive(Debug, thiserror::Error)]
 enum Ended {
-    #[error("no connection")]
+    #[error("cannot connect")]
     NotOpened,
-    #[error("no word in time")]
+    #[error("no message in time")]
     Silent,
     #[error(transparent)]
     Frame(#[from] frame::Error),
--- a/crates/stair-relay/src/peers.rs
+++ b/crates/stair-relay/src/peers.rs
@@ -86,7 +86,7 @@
                 .write(),
             Err(_) => Line::failure("peer.failed")
                 .text("peer", &peer.entry)
-                .text("error", "no answer in time")
+                .text("error", "no reply in time")
                 .write(),
         }
     }
--- a/crates/stair-relay/src/process.rs
+++ b/crates/stair-relay/src/process.rs
@@ -98,7 +98,7 @@
         tasks.spawn(serve::readiness(cx.clone(), self.ready, never.clone()));
         tasks.spawn(serve::metrics(cx.clone(), self.metrics, never));
         tasks.spawn(serve::clients(cx.clone(), self.clients));
-        // The sender outlives this wait.
+        // The sender lives until the process ends.
         let _ = stop.wait_for(|s| *s).await;
         let last = Instant::now() + stop_within.saturating_sub(KILL_MARGIN);
         cx.drain(last);
--- a/crates/stair-relay/src/quarantine.rs
+++ b/crates/stair-relay/src/quarantine.rs
@@ -4,8 +4,8 @@
 //! verdicts to all entries. While no agent is linked, an entry keeps a ledger of its own.
 //! [`quarantine`](stair_fleet::quarantine) defines the decisions.
 //!
-//! Invariants: a request that is quarantined here is not sent to a target; only true statements about a
-//! request are reported to ledgers.
+//! Invariants: a request that is quarantined here is not sent to a target, and the verdict in its refusal is
+//! true.
 
 use std::{
     net::SocketAddr,
@@ -64,7 +64,7 @@
 /// Time for which an agent that has not replied is not used.
 const SKIP_DURATION: Duration = Duration::from_millis(1000);
 
-/// An entry's state of requests that end targets.
+/// The state that an entry keeps about requests that end targets.
 #[derive(Default)]
 pub(crate) struct Quarantine {
     pub(crate) watchlist: Watchlist,
--- a/crates/stair-relay/src/quota.rs
+++ b/crates/stair-relay/src/quota.rs
@@ -66,7 +66,7 @@
 /// A request whose cost is at most this fraction of its workspace's burst does not wait for the reply.
 const SMALL_FRACTION: f64 = 1.0 / 50.0;
 
-/// An entry's state of the quotas of workspaces.
+/// The state that an entry keeps about the quotas of workspaces.
 #[derive(Default)]
 pub struct Quotas {
     /// The time until which each workspace is overdrawn, sorted by workspace.
--- a/crates/stair-relay/src/relay.rs
+++ b/crates/stair-relay/src/relay.rs
@@ -63,8 +63,8 @@
 /// it.
 const MAX_SENDS: usize = 4;
 
-/// Objectives after which a repeatable request is tried at another target: most targets that take longer
-/// hang.
+/// Objectives after which a repeatable request is tried at another target; a target that takes longer usually
+/// hangs.
 const HUNG_OBJECTIVES: u32 = 3;
 
 /// Serves one request of a client; every outcome is a response.
@@ -287,8 +287,8 @@
 /// Waits until an attempt is abandoned because its VM is unresponsive.
 ///
 /// With `elsewhere` the attempt is abandoned at once, as the request may run at another target. Otherwise it
-/// is abandoned at `client_leaves`, right before the client disconnects, so that the response that it may
-/// have run still arrives. An unresponsive VM would not notice that the client closed its connection.
+/// is abandoned right before the client disconnects at `client_leaves`, and the response states that the
+/// request may have run. An unresponsive VM would not notice that the client closed its connection.
 ///
 /// The targets `before` were tried before the target `key`; the request may still run at one of them.
 pub async fn until_abandoned(
--- a/crates/stair-relay/src/select.rs
+++ b/crates/stair-relay/src/select.rs
@@ -80,7 +80,7 @@
 
 /// The target that a request is sent to.
 pub struct Selected {
-    /// Counts the request at the target from now on.
+    /// The guard that counts the request at the target.
     pub in_flight: InFlight,
     /// The target's address.
     pub addr: SocketAddr,
@@ -247,7 +247,7 @@
     Selected(Selected),
     /// Search again with the state that has changed.
     Retry,
-    /// No engine has a prefill slot in time; the shortest wait known.
+    /// No engine has a prefill slot in time; the wait at the last one tried.
     SlotTooLate(Duration),
     /// No target can run the request now, so the model has to be loaded.
     Load,
--- a/crates/stair-relay/src/stream.rs
+++ b/crates/stair-relay/src/stream.rs
@@ -181,7 +181,7 @@
                 Err(_) => return Next::Late,
                 Ok(Err(e)) => return Next::Broken(e.to_string().into()),
                 Ok(Ok(None)) if self.split.is_inside() => {
-                    return Next::Broken("it ended inside an event".into());
+                    return Next::Broken("the body ended inside an event".into());
                 }
                 Ok(Ok(None)) => return Next::End,
                 Ok(Ok(Some(data))) => {
