--- a/crates/stair-relay/src/failures.rs
+++ b/crates/stair-relay/src/failures.rs
@@ -40,10 +40,10 @@
 
     /// Records that another target served the request.
     pub fn served(&mut self) {
-        self.attribute(true);
+        self.put_down(true);
     }
 
-    fn attribute(&mut self, served: bool) {
+    fn put_down(&mut self, served: bool) {
         let failed = std::mem::take(&mut self.keys);
         if failed.is_empty() {
             return;
@@ -68,6 +68,6 @@
 
 impl Drop for Failures {
     fn drop(&mut self) {
-        self.attribute(false);
+        self.put_down(false);
     }
 }
--- a/crates/stair-relay/src/owner.rs
+++ b/crates/stair-relay/src/owner.rs
@@ -30,7 +30,7 @@
     /// The engine beside the agent.
     pub(crate) engine: SocketAddr,
     /// Whether an agent that comes before it in the order was passed over because it does not reply.
-    pub(crate) is_fallback: bool,
+    pub(crate) stand_in: bool,
     until: Duration,
 }
 
@@ -73,7 +73,7 @@
         let chosen = all.filter(answers).max_by_key(weight)?;
         Some(Owner {
             engine: self.agents[chosen].engine,
-            is_fallback: chosen != first,
+            stand_in: chosen != first,
             until: now + CHOICE_TTL,
         })
     }
--- a/crates/stair-relay/src/quota.rs
+++ b/crates/stair-relay/src/quota.rs
@@ -298,7 +298,7 @@
         now: Duration,
     ) -> Option<(SocketAddr, Option<oneshot::Receiver<Answer>>)> {
         let owner = self.owner(&request.workspace, now)?;
-        request.stand_in = owner.is_fallback;
+        request.stand_in = owner.stand_in;
         let seq = self.next_seq();
         let i = self.agent(owner.engine)?;
         let msg = ToAgent::Allow {
