--- a/crates/stair-agent/src/dump.rs
+++ b/crates/stair-agent/src/dump.rs
@@ -42,7 +42,8 @@
     /// Requests that hold a slot of the target.
     pub running: Vec<RequestId>,
     /// Answers kept for a resume.
-    pub answers: usize,
+    #[serde(rename = "answers")]
+    pub responses: usize,
     /// Request ids remembered.
     pub runs: usize,
     /// Whether the agent is leaving.
@@ -60,15 +61,15 @@
             shards: self.in_force.shards().to_vec(),
             released: self.in_force.released().to_vec(),
             ledger: self.ledger.clone(),
-            in_doubt: !self.knows_engine(),
+            in_doubt: !self.knows_inventory(),
             orders: self.orders,
             loads: self.loads,
             waiting: self.queue.iter().map(|w| w.key).collect(),
             waiting_bytes: self.queue.bytes(),
             running: self.active.iter().map(|a| a.id).collect(),
-            answers: self.answers.len(),
+            responses: self.responses.len(),
             runs: self.runs.len(),
-            leaving: self.leaving,
+            leaving: self.draining,
             entries: self.args.entries.borrow().len(),
         }
     }
--- a/crates/stair-entry/src/control/actor.rs
+++ b/crates/stair-entry/src/control/actor.rs
@@ -36,18 +36,18 @@
 use crate::{
     control::{
         agents::AgentStream,
-        crowding::Crowding,
         feed::{
             Listed,
             decode, //
         },
-        moving::Moving,
+        load_slots::LoadSlotScheduler,
+        memory_pressure::MemoryPressure,
+        migration::Migrations,
         msg::Msg,
         state::{
             State,
             Versioned, //
         },
-        turns::Desk,
         writes::Release,
     },
     view::View,
@@ -55,7 +55,7 @@
 
 /// How often pending work is looked at again: proposals of a home that does not act, releases
 /// whose write failed.
-const TICK: Duration = Duration::from_millis(500);
+const TICK_INTERVAL: Duration = Duration::from_millis(500);
 
 /// What the actor is started with.
 pub struct Arguments<S> {
@@ -66,7 +66,7 @@
     /// Where the view is published.
     pub view: watch::Sender<Arc<View>>,
     /// The turns at the weight store.
-    pub desk: Desk,
+    pub scheduler: LoadSlotScheduler,
 }
 
 /// The actor's own state.
@@ -77,7 +77,7 @@
     pub(super) entries: Arc<Vec<EntryAddress>>,
     pub(super) flush_sent: bool,
     /// Whether grants may have to change since the last round of proposals.
-    pub(super) unproposed: bool,
+    pub(super) proposals_due: bool,
     /// For each shard, how many live entries come before this one; empty until it is worked out.
     pub(super) ranks: Vec<usize>,
     /// For each shard, since when a change is needed that this entry is not first for.
@@ -85,13 +85,13 @@
     /// Shards with a write under way.
     pub(super) writing: Vec<bool>,
     /// Grants on their way to another target.
-    pub(super) moving: Moving,
+    pub(super) migrations: Migrations,
     /// What agents said about room.
-    pub(super) crowding: Crowding,
+    pub(super) memory_pressure: MemoryPressure,
     /// Given back by agents and not yet written.
     pub(super) releases: Vec<Release>,
     /// The fleet in which no record of an agent was left to delete.
-    pub(super) swept: Option<u64>,
+    pub(super) swept_fleet: Option<u64>,
 }
 
 /// The actor; see the module.
@@ -120,7 +120,7 @@
         myself: ActorRef<Msg>,
         args: Arguments<S>,
     ) -> Result<Control<S>, ActorProcessingErr> {
-        myself.send_interval(TICK, || Msg::Tick);
+        myself.send_interval(TICK_INTERVAL, || Msg::Tick);
         let shards = State::default().shards.len();
         Ok(Control {
             args,
@@ -128,14 +128,14 @@
             agents: Vec::new(),
             entries: Arc::default(),
             flush_sent: false,
-            unproposed: false,
+            proposals_due: false,
             ranks: Vec::new(),
             needed_since: vec![None; shards],
             writing: vec![false; shards],
-            moving: Moving::default(),
-            crowding: Crowding::default(),
+            migrations: Migrations::default(),
+            memory_pressure: MemoryPressure::default(),
             releases: Vec::new(),
-            swept: None,
+            swept_fleet: None,
         })
     }
 
@@ -156,27 +156,29 @@
 {
     fn handle(&mut self, myself: &ActorRef<Msg>, msg: Msg) {
         let changed = match msg {
-            Msg::Listed(listed) => self.take_list(*listed),
-            Msg::Changes(events) => self.take_changes(events),
+            Msg::Listed(listed) => self.apply_list(*listed),
+            Msg::Changes(events) => self.apply_changes(events),
             // An own write comes back and changes nothing, but more may follow from it.
-            Msg::Seen(revision) => self.state.raise_seen(revision) && self.unproposed,
-            Msg::Config(config) => self.state.raise_config(*config),
+            Msg::CompleteTo(revision) => {
+                self.state.advance_revision(revision) && self.proposals_due
+            }
+            Msg::Config(config) => self.state.update_config(*config),
             Msg::Confirmed => {
                 self.state.confirmed = true;
                 true
             }
-            Msg::Written(shard, result) => self.take_written(shard, result),
+            Msg::Written(shard, result) => self.finish_write(shard, result),
             Msg::ReleaseDone(shard, grants) => {
                 self.releases
                     .retain(|r| r.shard != shard || !grants.contains(&r.grant));
                 false
             }
-            Msg::AgentUp(up) => self.add_agent(*up),
-            Msg::AgentDown(stream) => {
+            Msg::AgentConnected(connected) => self.add_agent(*connected),
+            Msg::AgentDisconnected(stream) => {
                 self.agents.retain(|a| a.stream != stream);
                 false
             }
-            Msg::AgentSaid(stream, said) => self.agent_said(stream, said),
+            Msg::AgentMessage(stream, msg) => self.handle_agent_message(stream, msg),
             Msg::Flush => {
                 self.flush(myself);
                 false
@@ -205,7 +207,7 @@
         }
     }
 
-    fn take_list(&mut self, listed: Listed) -> bool {
+    fn apply_list(&mut self, listed: Listed) -> bool {
         let revision = listed.page.revision;
         let names = listed.page.events.iter().filter_map(|e| match e {
             Event::Put(object) => Some(object.name.clone()),
@@ -213,26 +215,26 @@
         });
         let mut names: Vec<Box<str>> = names.collect();
         names.sort();
-        let mut changed = self.take_changes(listed.page.events);
+        let mut changed = self.apply_changes(listed.page.events);
         changed |= match listed.kind {
-            Kind::Vm => self.state.forget_unlisted_vms(&names, revision),
+            Kind::Vm => self.state.remove_unlisted_vms(&names, revision),
             Kind::Incarnation => {
                 let targets = names
                     .into_iter()
                     .filter_map(|n| TargetName::try_from(n).ok());
                 let targets: Vec<TargetName> = targets.collect();
-                self.state.forget_unlisted_incarnations(&targets, revision)
+                self.state.remove_unlisted_incarnations(&targets, revision)
             }
             _ => false,
         };
         changed
     }
 
-    fn take_changes(&mut self, events: Vec<Event>) -> bool {
+    fn apply_changes(&mut self, events: Vec<Event>) -> bool {
         let mut changed = false;
         for event in events {
             changed |= match event {
-                Event::Put(object) => self.take_put(&object).unwrap_or_else(|e| {
+                Event::Put(object) => self.apply_put(&object).unwrap_or_else(|e| {
                     let kind = object.kind.as_str();
                     warn!(
                         Part::Platform,
@@ -244,39 +246,39 @@
                     kind,
                     name,
                     version,
-                } => self.take_deleted(kind, name, version),
+                } => self.apply_deletion(kind, name, version),
             };
         }
         changed
     }
 
-    fn take_put(&mut self, object: &Object) -> Result<bool, Error> {
+    fn apply_put(&mut self, object: &Object) -> Result<bool, Error> {
         let version = object.version;
         match object.kind {
             Kind::Grants => {
                 let shard = shard_id(&object.name)?;
                 Ok(self
                     .state
-                    .raise_shard(shard, version, Some(decode(object)?)))
+                    .update_shard(shard, version, Some(decode(object)?)))
             }
             Kind::Incarnation => {
                 let target = target_name(&object.name)?;
                 let record = Some(decode(object)?);
-                Ok(self.state.raise_incarnation(target, version, record))
+                Ok(self.state.update_incarnation(target, version, record))
             }
             Kind::Vm => {
                 let vm = Some(decode(object)?);
-                Ok(self.state.raise_vm(object.name.clone(), version, vm))
+                Ok(self.state.update_vm(object.name.clone(), version, vm))
             }
             Kind::Manifest | Kind::Chunk | Kind::Claims => Ok(false),
         }
     }
 
-    fn take_deleted(&mut self, kind: Kind, name: Box<str>, version: u64) -> bool {
+    fn apply_deletion(&mut self, kind: Kind, name: Box<str>, version: u64) -> bool {
         match kind {
-            Kind::Vm => self.state.raise_vm(name, version, None),
+            Kind::Vm => self.state.update_vm(name, version, None),
             Kind::Incarnation => match TargetName::try_from(name) {
-                Ok(target) => self.state.raise_incarnation(target, version, None),
+                Ok(target) => self.state.update_incarnation(target, version, None),
                 Err(_) => false,
             },
             // Nobody deletes shards of grants, and a manifest that vanished must not end what is
@@ -285,7 +287,7 @@
         }
     }
 
-    fn take_written(
+    fn finish_write(
         &mut self,
         shard: ShardId,
         result: Result<Option<Versioned<GrantShard>>, Error>,
@@ -295,14 +297,14 @@
             Ok(Some(written)) => {
                 self.needed_since[usize::from(shard.0)] = None;
                 self.state
-                    .raise_shard(shard, written.version, written.value)
+                    .update_shard(shard, written.version, written.value)
             }
             Ok(None) => false,
             // Another entry was faster; the watch brings what it wrote.
             Err(Error::Conflict) => false,
             Err(e) => {
                 warn!(Part::Grants, "Shard {shard} was not written: {e}.");
-                self.unproposed = true;
+                self.proposals_due = true;
                 false
             }
         }
@@ -310,34 +312,38 @@
 
     fn flush(&mut self, myself: &ActorRef<Msg>) {
         self.flush_sent = false;
-        self.unproposed = true;
+        self.proposals_due = true;
         let policy = &self.state.config.catalogue.policy;
-        self.args.desk.allow(stair_policy::load_order::Options {
-            loads_per_second: policy.weight_store.loads_per_second,
-            full_speed_loads: policy.weight_store.full_speed_loads,
-            ..stair_policy::load_order::Options::default()
-        });
+        self.args
+            .scheduler
+            .set_options(stair_policy::load_slots::Options {
+                loads_per_second: policy.weight_store.loads_per_second,
+                full_speed_loads: policy.weight_store.full_speed_loads,
+                ..stair_policy::load_slots::Options::default()
+            });
         self.publish();
         self.update_agents();
         self.write_releases(myself);
-        self.move_crowded(myself);
+        self.move_grants(myself);
         self.propose(myself);
     }
 
     fn publish(&mut self) {
         let now = Instant::now();
-        self.moving.update(&self.state, now);
+        self.migrations.update(&self.state, now);
         let view = View {
-            moving: self.moving.models(&self.state, now),
+            migrating: self.migrations.migrating_models(&self.state, now),
             ..self.state.view(&self.args.view.borrow())
         };
         self.args.view.send_replace(Arc::new(view));
     }
 
     /// Publishes again when a move has taken too long to be waited for.
-    fn publish_moves(&mut self) {
-        let moving = self.moving.models(&self.state, Instant::now());
-        let changed = self.args.view.borrow().moving != moving;
+    fn publish_migrations(&mut self) {
+        let migrating = self
+            .migrations
+            .migrating_models(&self.state, Instant::now());
+        let changed = self.args.view.borrow().migrating != migrating;
         if changed {
             self.publish();
         }
@@ -345,11 +351,11 @@
 
     fn tick(&mut self, myself: &ActorRef<Msg>) {
         self.write_releases(myself);
-        if self.unproposed {
+        if self.proposals_due {
             self.propose(myself);
         }
-        self.delete_gone();
-        self.publish_moves();
+        self.delete_stale_records();
+        self.publish_migrations();
     }
 }
 
--- a/crates/stair-entry/src/control/propose.rs
+++ b/crates/stair-entry/src/control/propose.rs
@@ -7,11 +7,11 @@
 
 use stair_config::Model;
 use stair_platform::TargetKind;
-use stair_policy::place::{
+use stair_policy::placement::{
     self,
     Change,
+    ExistingGrant,
     Fleet,
-    Held,
     ModelInfo,
     TargetInfo, //
 };
@@ -32,13 +32,13 @@
 
 /// The fleet as placement sees it, made once for all shards of one round.
 #[derive(Debug)]
-pub struct Round {
+pub struct Planner {
     fleet: Fleet,
     /// The arena that the keys point into, sorted by name.
     names: Vec<TargetName>,
 }
 
-impl Round {
+impl Planner {
     /// Prepares a round: O(n log n) in the targets and O(g log n) in the grants.
     pub fn new(state: &State) -> Self {
         let mut data_centres: Vec<&DataCentre> = Vec::new();
@@ -58,23 +58,24 @@
                 data_centre,
                 memory_mib,
                 granted_mib: 0,
-                live: state.is_live(&agent.name) && !state.says_leaving(&agent.name, record.token),
+                live: state.is_live(&agent.name)
+                    && !state.reports_leaving(&agent.name, record.token),
             });
             names.push(agent.name.clone());
         }
-        let mut round = Self {
+        let mut planner = Self {
             fleet: Fleet::new(infos),
             names,
         };
-        round.count_grants(state);
-        round
+        planner.count_grants(state);
+        planner
     }
 
     /// Returns the shard as it should be, or none when it is right already.
     pub fn propose(&mut self, state: &State, shard: ShardId) -> Option<GrantShard> {
         let held = &state.shards[usize::from(shard.0)];
         let mut next = held.value.clone().unwrap_or_default();
-        remove_gone(state, &mut next);
+        remove_unlisted_holders(state, &mut next);
         self.revoke_undeclared(state, &mut next);
         let catalogue = state.config.catalogue.clone();
         let models = catalogue.models.iter();
@@ -107,7 +108,7 @@
     }
 
     /// Tells whether a model that gives up a grant would find another target.
-    pub fn has_place(
+    pub fn has_other_target(
         &mut self,
         shard: &GrantShard,
         model: &Model,
@@ -132,14 +133,14 @@
 
     fn changes(&self, shard: &GrantShard, model: &Model) -> Vec<Change> {
         let grants = shard.of_model(&model.name).iter();
-        let grants: Vec<Held> = grants.map(|g| self.held(g)).collect();
+        let grants: Vec<ExistingGrant> = grants.map(|g| self.held(g)).collect();
         let info = ModelInfo {
             name_hash: rendezvous::weight("model", model.name.as_str()),
             memory_mib: model.memory_mib,
             replicas: model.replicas,
             grants: &grants,
         };
-        place::changes(&place::Options::default(), &self.fleet, &info)
+        placement::changes(&placement::Options::default(), &self.fleet, &info)
     }
 
     fn key(&self, target: &TargetName) -> Option<TargetKey> {
@@ -193,8 +194,8 @@
 
     /// A grant of a target that is not in the arena gets a key that no target has: placement
     /// counts the grant and finds its holder unfit.
-    fn held(&self, grant: &Grant) -> Held {
-        Held {
+    fn held(&self, grant: &Grant) -> ExistingGrant {
+        ExistingGrant {
             target: self.key(&grant.target).unwrap_or(TargetKey(u32::MAX)),
             revoking: grant.revoking,
         }
@@ -204,35 +205,35 @@
 /// A grant of a VM that does not answer stays: the VM may be paused with the model loaded. Only
 /// when the platform has taken the VM away is its memory surely gone. Grants go to listed VMs
 /// only, so a holder that is not listed was listed before.
-fn remove_gone(state: &State, shard: &mut GrantShard) {
-    let mut gone: Vec<TargetName> = shard
+fn remove_unlisted_holders(state: &State, shard: &mut GrantShard) {
+    let mut unlisted: Vec<TargetName> = shard
         .grants
         .iter()
         .filter(|g| !state.is_listed(&g.target))
         .map(|g| g.target.clone())
         .collect();
-    gone.dedup();
-    for target in gone {
+    unlisted.dedup();
+    for target in unlisted {
         shard.remove_target(&target);
     }
 }
 
 /// Tells whether a shard is surely right as it is, at the cost of the shard and not of the fleet.
 ///
-/// Most changes concern few shards, and preparing a [`Round`] for 12,000 targets with each change
+/// Most changes concern few shards, and preparing a [`Planner`] for 12,000 targets with each change
 /// would cost most of what control may use.
 pub fn is_settled(state: &State, shard: ShardId) -> bool {
     let held = &state.shards[usize::from(shard.0)];
     let grants = held.value.as_ref().map_or(&[][..], |s| &s.grants);
     let catalogue = &state.config.catalogue;
-    let right = |g: &Grant| {
+    let is_valid = |g: &Grant| {
         let declared = catalogue.model(g.model.as_str());
         declared.is_some_and(|m| {
             state.is_listed(&g.target) && (g.revoking || may_keep(state, &g.target, m.memory_mib))
         })
     };
     let mut models = catalogue.models.iter();
-    grants.iter().all(right)
+    grants.iter().all(is_valid)
         && models.all(|m| {
             stair_state::grants::shard_of(&m.name) != shard
                 || held.value.as_ref().map_or(0, |s| s.of_model(&m.name).len())
@@ -246,7 +247,7 @@
             TargetKind::Engine { memory_mib } => memory <= memory_mib,
             TargetKind::Service { .. } => false,
         };
-        fits && state.is_live(target) && !state.says_leaving(target, record.token)
+        fits && state.is_live(target) && !state.reports_leaving(target, record.token)
     })
 }
 
--- a/crates/stair-relay/src/admit.rs
+++ b/crates/stair-relay/src/admit.rs
@@ -37,7 +37,7 @@
 use stair_fleet::{
     Catalogue,
     catalogue::Route,
-    prefill::Part, //
+    prefill::PrefixBlock, //
 };
 use stair_telemetry::event::Line;
 use tokio::time::{
@@ -129,7 +129,7 @@
     let mut job = Job {
         shared_prefix: shared_prefix(&meta),
         prefix_blocks: prefix_blocks(&meta),
-        more_urgent: catalogue.more_urgent(&service, rank(&route, workspace.as_ref())),
+        more_urgent: catalogue.more_urgent_objective(&service, rank(&route, workspace.as_ref())),
         shortest_pause: catalogue.shortest_pause(&service),
         meta,
         route,
@@ -273,11 +273,11 @@
 }
 
 /// The prefix blocks of the prompt, each named by a hash of everything up to its end.
-fn prefix_blocks(meta: &Meta) -> Vec<Part> {
+fn prefix_blocks(meta: &Meta) -> Vec<PrefixBlock> {
     let mut chain = xxh3_64(format!("{:?}/{:?}", meta.model, meta.adapter).as_bytes());
     let part = |(id, tokens): &(u64, u64)| {
         chain = xxh3_64_with_seed(&id.to_le_bytes(), chain);
-        Part {
+        PrefixBlock {
             chain,
             tokens: u32::try_from(*tokens).unwrap_or(u32::MAX),
         }
--- a/crates/stair-relay/src/assign.rs
+++ b/crates/stair-relay/src/assign.rs
@@ -147,7 +147,7 @@
     }
     let leaves = job
         .route
-        .client_waits()
+        .client_timeout()
         .saturating_sub(CLIENT_REFUSAL_MARGIN);
     job.deadline.min(job.received + leaves)
 }
--- a/crates/stair-relay/src/context.rs
+++ b/crates/stair-relay/src/context.rs
@@ -37,10 +37,10 @@
         ToAgent, //
     },
     prefill::{
-        Answer,
-        Read, //
+        Measurement, //
+        Reply,
     },
-    seen::OVERDUE_TIME,
+    target_state::HEARTBEAT_TIMEOUT,
     view::TargetKey, //
 };
 use stair_telemetry::{
@@ -143,11 +143,11 @@
     /// The last incarnation that the engine has disowned.
     pub stale_incarnation: Option<Box<str>>,
     /// Prefill durations that have not been reported to the agent.
-    pub prefill_times: Vec<Read>,
+    pub prefill_times: Vec<Measurement>,
     /// Load requests that wait for a reply, by sequence number.
     pub pending_loads: Vec<(u64, oneshot::Sender<Outcome>)>,
     /// Requests for a prefill slot that wait for a reply, by sequence number.
-    pub pending_slots: Vec<(u64, oneshot::Sender<Answer>)>,
+    pub pending_slots: Vec<(u64, oneshot::Sender<Reply>)>,
 }
 
 impl Context {
@@ -259,10 +259,10 @@
         let (newly_unresponsive, unresponsive, id) = {
             let mut state = self.state();
             let target_state = state.view.get_mut(key);
-            let newly_unresponsive = target_state.mark_quiet(OVERDUE_TIME, now);
+            let newly_unresponsive = target_state.mark_unresponsive(HEARTBEAT_TIMEOUT, now);
             (
                 newly_unresponsive,
-                target_state.quiet,
+                target_state.unresponsive,
                 target_state.target.id.clone(),
             )
         };
@@ -275,7 +275,7 @@
     /// Whether a target announces that it takes requests, even if it is suspect.
     pub(crate) fn takes(&self, key: TargetKey) -> bool {
         let now = self.now();
-        self.state().view.get(key).takes(true, now)
+        self.state().view.get(key).accepts(true, now)
     }
 
     /// Logs targets whose VMs were found to be unresponsive, and notifies those that wait for that.
@@ -292,7 +292,7 @@
     pub async fn until_unresponsive(&self, keys: &[TargetKey]) {
         loop {
             let notified = self.unresponsive.notified();
-            if keys.iter().any(|k| self.state().view.get(*k).quiet) {
+            if keys.iter().any(|k| self.state().view.get(*k).unresponsive) {
                 return;
             }
             notified.await;
@@ -304,11 +304,15 @@
         let now = self.now();
         let state = self.state();
         let listed = state.view.all().count();
-        let open = state.view.all().filter(|(_, s)| s.open(now)).count();
+        let open = state
+            .view
+            .all()
+            .filter(|(_, s)| s.is_available(now))
+            .count();
         let reported = state
             .view
             .all()
-            .filter(|(_, s)| s.fresh(now).is_some())
+            .filter(|(_, s)| s.fresh_report(now).is_some())
             .count();
         drop(state);
         let set = |name, n: usize| {
--- a/crates/stair-relay/src/context/usage.rs
+++ b/crates/stair-relay/src/context/usage.rs
@@ -4,7 +4,7 @@
 
 use stair_fleet::{
     msg::Used,
-    prefill::Read, //
+    prefill::Measurement, //
 };
 
 use super::State;
@@ -50,7 +50,7 @@
     }
 
     /// Takes the prefill durations at an engine that have not been reported to its agent.
-    pub fn take_prefill_times(&mut self, engine: SocketAddr) -> Vec<Read> {
+    pub fn take_prefill_times(&mut self, engine: SocketAddr) -> Vec<Measurement> {
         let i = self.agent(engine);
         i.map_or_else(Vec::new, |i| {
             std::mem::take(&mut self.agents[i].prefill_times)
--- a/crates/stair-relay/src/crash.rs
+++ b/crates/stair-relay/src/crash.rs
@@ -14,11 +14,11 @@
 use stair_fleet::{
     quarantine::{
         Crash,
-        ESTABLISHED_TIME,
+        ESTABLISHED_DURATION,
         Run, //
     },
-    seen::Seen,
-    target::State as AnnouncedState,
+    target::State,
+    target_state::TargetState,
     view::TargetKey, //
 };
 use stair_telemetry::event::Line;
@@ -67,7 +67,7 @@
 }
 
 impl Incarnation {
-    fn of(target_state: &Seen) -> Self {
+    fn of(target_state: &TargetState) -> Self {
         Self {
             id: target_state.target.id.clone(),
             started: target_state.target.started,
@@ -212,14 +212,14 @@
 fn record(cx: &Arc<Context>, job: &Job, key: TargetKey, begun: Option<Instant>, ending: Ending) {
     let run = Run {
         fingerprint: job.fingerprint(),
-        established: begun.is_some_and(|t| t.elapsed() >= ESTABLISHED_TIME),
+        established: begun.is_some_and(|t| t.elapsed() >= ESTABLISHED_DURATION),
         on_trial: job.is_on_trial(),
     };
     let (incarnation, addr, first, ended) = {
         let mut state = cx.state();
         let target_state = state.view.get(key);
         // Interruptions by a target that shuts down are not attributed to its requests.
-        if target_state.target.state != AnnouncedState::Ready {
+        if target_state.target.state != State::Ready {
             return;
         }
         let (incarnation, addr) = (Incarnation::of(target_state), target_state.target.addr);
@@ -287,11 +287,15 @@
                 return true;
             };
             match target_state.target.state {
-                AnnouncedState::Draining(_) => return false,
-                AnnouncedState::Ready if target_state.fresh(now).is_some_and(|r| !r.load.alive) => {
+                State::Draining(_) => return false,
+                State::Ready
+                    if target_state
+                        .fresh_report(now)
+                        .is_some_and(|r| !r.load.alive) =>
+                {
                     return true;
                 }
-                AnnouncedState::Ready => {}
+                State::Ready => {}
             }
         }
         sleep(CHECK_INTERVAL).await;
@@ -315,11 +319,5 @@
         Some(started) => format!("{}@{started}", incarnation.id).into(),
         None => incarnation.id.clone(),
     };
-    quarantine::report(
-        cx,
-        Crash {
-            life: incarnation,
-            runs,
-        },
-    );
+    quarantine::report(cx, Crash { incarnation, runs });
 }
--- a/crates/stair-relay/src/dump.rs
+++ b/crates/stair-relay/src/dump.rs
@@ -11,8 +11,8 @@
         Notice,
         Standing, //
     },
-    seen::Seen, //
     target::Report,
+    target_state::TargetState, //
 };
 
 use crate::context::{
@@ -143,11 +143,11 @@
     Some(catalogue.workspaces.as_ref()?.all().len())
 }
 
-fn target(target_state: &Seen, now: Duration) -> TargetDump {
+fn target(target_state: &TargetState, now: Duration) -> TargetDump {
     let report = target_state.report.as_ref();
     TargetDump {
         target: target_state.target.clone(),
-        open: target_state.open(now),
+        open: target_state.is_available(now),
         missing_for_ms: target_state
             .missing_until
             .map(|t| ms(t.saturating_sub(now))),
--- a/crates/stair-relay/src/job.rs
+++ b/crates/stair-relay/src/job.rs
@@ -34,7 +34,7 @@
         Engine,
         Route, //
     },
-    prefill::Part,
+    prefill::PrefixBlock,
     workspace::Workspace, //
 };
 use stair_types::{
@@ -71,7 +71,7 @@
     /// The number of tokens in the prefix that other requests share, and the hash of that prefix.
     pub shared_prefix: Option<(u64, u64)>,
     /// The prefix blocks of its prompt.
-    pub prefix_blocks: Vec<Part>,
+    pub prefix_blocks: Vec<PrefixBlock>,
     /// The shortest objective of more urgent requests to the service, which are served first.
     pub more_urgent: Option<Duration>,
     /// The shortest pause between events that the service's routes promise to clients of streams.
--- a/crates/stair-relay/src/links.rs
+++ b/crates/stair-relay/src/links.rs
@@ -16,8 +16,8 @@
         ToAgent,
         ToEntry, //
     },
-    seen::QUIET_TIME,
-    target::State as AnnouncedState,
+    target::State,
+    target_state::UNRESPONSIVE_TIMEOUT,
 };
 use stair_telemetry::event::Line;
 use stair_wire::frame;
@@ -119,12 +119,12 @@
         checked_at = Instant::now();
         if late {
             // Reports that arrived meanwhile have not been read yet.
-            trusted_from = checked_at + QUIET_TIME;
+            trusted_from = checked_at + UNRESPONSIVE_TIMEOUT;
         }
         if checked_at < trusted_from {
             continue;
         }
-        let unresponsive = cx.state().view.mark_quiet(cx.now());
+        let unresponsive = cx.state().view.mark_unresponsive(cx.now());
         cx.report_unresponsive(&unresponsive);
     }
 }
@@ -161,12 +161,12 @@
                     .show("why", format_args!("{ended:?}"))
                     .write();
                 if ended == Ended::Closed {
-                    cx.state().view.agent_gone_at(engine);
+                    cx.state().view.agent_disconnected_at(engine);
                 }
             }
             // The VM responds, but no agent runs there.
             Ok(Err(e)) if e.kind() == ErrorKind::ConnectionRefused => {
-                cx.state().view.agent_gone_at(engine);
+                cx.state().view.agent_disconnected_at(engine);
             }
             // The VM does not respond, or this process has run out of file descriptors.
             Ok(Err(_)) | Err(_) => {}
@@ -210,7 +210,7 @@
     state.owners.clear();
     state.quotas.link_ended(engine);
     state.quarantine.link_ended(engine);
-    state.view.unreport(engine);
+    state.view.drop_report_at(engine);
 }
 
 /// Why a link ended.
@@ -245,15 +245,15 @@
             Err(_) => return Ended::Silent,
         };
         let now = cx.now();
-        cx.state().view.message_at(engine, now);
+        cx.state().view.record_message_at(engine, now);
         match msg {
-            ToEntry::Holds(holds) => {
-                cx.state().view.holds_at(engine, *holds, now);
+            ToEntry::Inventory(inventory) => {
+                cx.state().view.set_inventory_at(engine, *inventory, now);
             }
             ToEntry::Load(load) => {
-                cx.state().view.load_at(engine, *load, now);
+                cx.state().view.set_load_at(engine, *load, now);
             }
-            ToEntry::Done { seq, outcome } => {
+            ToEntry::LoadReply { seq, outcome } => {
                 let waiting = {
                     let mut state = cx.state();
                     let Some(i) = state.agent(engine) else {
@@ -266,7 +266,7 @@
                 // The request that waited may have been dropped.
                 waiting.map(|tx| tx.send(outcome));
             }
-            ToEntry::Prefill { seq, answer } => {
+            ToEntry::Prefill { seq, reply: answer } => {
                 let mut state = cx.state();
                 let Some(i) = state.agent(engine) else {
                     return Ended::Closed;
@@ -275,14 +275,14 @@
                 let found = list.iter().position(|(s, _)| *s == seq);
                 let asked = found.map(|i| list.swap_remove(i).1);
                 let until = now + answer.backlog;
-                state.view.reads_at(engine, until);
+                state.view.set_prefill_until(engine, until);
                 drop(state);
                 // The request that waited may have been dropped.
                 asked.map(|tx| tx.send(answer));
             }
-            ToEntry::Allowed { seq, answer } => quota::receive_reply(cx, engine, seq, answer),
-            ToEntry::Former(id) => receive_stale_incarnation(cx, engine, id),
-            ToEntry::Declare => declare(cx, engine),
+            ToEntry::QuotaReply { seq, reply } => quota::receive_reply(cx, engine, seq, reply),
+            ToEntry::StaleIncarnation(id) => receive_stale_incarnation(cx, engine, id),
+            ToEntry::DeclarationRequest => declare(cx, engine),
             ToEntry::Quarantine(msg) => quarantine::receive(cx, engine, msg),
             ToEntry::Peers(peers) => {
                 let mut state = cx.state();
@@ -304,7 +304,7 @@
     let service = state.view.at(engine).map(|(_, s)| &*s.target.service);
     let decl = service.and_then(|s| catalogue.service(s)?.engine.clone());
     if let Some(engine) = decl {
-        let msg = ToAgent::Engine {
+        let msg = ToAgent::Declaration {
             version: catalogue.version,
             engine,
         };
@@ -388,13 +388,13 @@
     let target = state
         .view
         .at(engine)
-        .filter(|(_, s)| s.target.state == AnnouncedState::Ready)
+        .filter(|(_, s)| s.target.state == State::Ready)
         .map(|(_, s)| (s.target.id.clone(), s.target.started));
     if let Some((id, started)) = target {
         let incarnation = Some((id.clone(), started));
         if sent.incarnation != incarnation {
             let revision = state.view.revision;
-            out.push(ToAgent::Instance { id, revision });
+            out.push(ToAgent::Incarnation { id, revision });
             sent.incarnation = incarnation;
         }
     }
@@ -404,7 +404,7 @@
     }
     let read = state.take_prefill_times(engine);
     if !read.is_empty() {
-        out.push(ToAgent::Read(read));
+        out.push(ToAgent::PrefillTimes(read));
     }
     out
 }
--- a/crates/stair-relay/src/load.rs
+++ b/crates/stair-relay/src/load.rs
@@ -14,8 +14,8 @@
         LoadRequest, //
     },
     target::{
-        Copy,
-        Held,
+        CopyLocation,
+        LoadedModel,
         Loading, //
     },
     view::TargetKey,
@@ -87,7 +87,7 @@
             Line::new("wake.nowhere")
                 .text("id", &job.meta.id)
                 .text("model", model)
-                .show("why", format_args!("{e:?}"))
+                .show("why", e)
                 .write();
             wait_for_store(engine, model, e, until).await
         }
@@ -109,7 +109,11 @@
     let begun = Instant::now();
     let late = begun + at.ready_in + RUN_DURATION > until;
     // A load that ends too late for this request would only occupy the weight store.
-    if late && at.from == Copy::Store && begun < outage_until && outage::is_expected(cx, job) {
+    if late
+        && at.from == CopyLocation::Store
+        && begun < outage_until
+        && outage::is_expected(cx, job)
+    {
         return Loaded::EngineDown;
     }
     let waits = until.saturating_duration_since(begun);
@@ -189,8 +193,8 @@
         .model(model)
         .map_or(DEFAULT_RETRY_AFTER, |m| m.from_store);
     match why {
-        cold_start::Error::Nowhere => return Loaded::NoCapacity,
-        cold_start::Error::Unheard => {
+        cold_start::Error::NoCapacity => return Loaded::NoCapacity,
+        cold_start::Error::MissingReports => {
             sleep(CHECK_INTERVAL).await;
             return Loaded::Waited;
         }
@@ -215,7 +219,7 @@
     let (addr, together) = {
         let state = cx.state();
         let target = &state.view.get(at.key).target;
-        let others = fetch::under_way(&state.view, &target.service, cx.now());
+        let others = fetch::in_progress(&state.view, &target.service, cx.now());
         (target.addr, u32::try_from(others + 1).unwrap_or(u32::MAX))
     };
     let req = LoadRequest {
@@ -223,9 +227,9 @@
         model: model.into(),
         adapter: None,
         victims: at.victims.clone(),
-        fetch: (at.from == Copy::Store).then_some(together),
+        fetch: (at.from == CopyLocation::Store).then_some(together),
         prefetch,
-        of_use,
+        timeout: of_use,
     };
     let pending = cx.request_load(addr, req)?;
     let from = [("from", copy_label(at.from))];
@@ -237,8 +241,8 @@
         report.load.loading = Some(Loading {
             model: model.into(),
             from: at.from,
-            left: at.ready_in,
-            times: 0.0,
+            remaining: at.ready_in,
+            slowdown: 0.0,
         });
     }
     Some(pending)
@@ -258,11 +262,11 @@
 }
 
 /// The metric label of the location of a copy.
-fn copy_label(from: Copy) -> &'static str {
+fn copy_label(from: CopyLocation) -> &'static str {
     match from {
-        Copy::Memory => "memory",
-        Copy::Disk => "disk",
-        Copy::Store => "store",
+        CopyLocation::Memory => "memory",
+        CopyLocation::Disk => "disk",
+        CopyLocation::Store => "store",
     }
 }
 
@@ -270,12 +274,12 @@
 fn mark_loaded(cx: &Context, model: &str, key: TargetKey) {
     let mut state = cx.state();
     if let Some((report, _)) = &mut state.view.get_mut(key).report {
-        if report.holds.model(model).is_none() {
-            report.holds.models.push(Held {
+        if report.inventory.model(model).is_none() {
+            report.inventory.models.push(LoadedModel {
                 name: model.into(),
                 adapters: Vec::new(),
             });
-            report.holds.sort();
+            report.inventory.sort();
         }
         report.load.loading = None;
     }
--- a/crates/stair-relay/src/prefill.rs
+++ b/crates/stair-relay/src/prefill.rs
@@ -6,7 +6,7 @@
 };
 
 use stair_fleet::{
-    prefill::Ask,
+    prefill::Request,
     view::TargetKey, //
 };
 use stair_telemetry::event::Line;
@@ -82,12 +82,12 @@
         None => useful_wait,
     };
     let spare = job.more_urgent.map(max_late_wait);
-    let ask = Ask {
+    let ask = Request {
         model: model.into(),
-        parts: job.prefix_blocks.clone(),
+        blocks: job.prefix_blocks.clone(),
         tokens: u32::try_from(job.meta.prompt_tokens).unwrap_or(u32::MAX),
-        limit,
-        spare,
+        max_wait: limit,
+        urgent_max_wait: spare,
         pause: job.shortest_pause,
         first: opts.first,
     };
@@ -102,7 +102,7 @@
         return Reservation::Granted(PromptEstimate::default());
     };
     cx.page.time("turn_wait_ms", &[], reply.wait);
-    if !reply.booked {
+    if !reply.reserved {
         Line::new("turn.full")
             .text("id", &job.meta.id)
             .show("addr", addr)
@@ -121,8 +121,8 @@
         sleep(reply.wait).await;
     }
     Reservation::Granted(PromptEstimate {
-        cached: reply.kept,
-        reads: reply.reads,
+        cached: reply.cached,
+        reads: reply.prefill_time,
     })
 }
 
--- a/crates/stair-relay/src/quota.rs
+++ b/crates/stair-relay/src/quota.rs
@@ -19,15 +19,15 @@
 };
 
 use stair_fleet::{
-    allowance::{
-        Answer,
-        Ask,
+    msg::ToAgent,
+    quota::{
         Bucket,
+        Reply,
+        Request,
         share, //
     },
-    msg::ToAgent,
     workspace::{
-        Allowance,
+        Quota,
         Workspace, //
     },
 };
@@ -83,7 +83,7 @@
     workspace: Box<str>,
     cost: f64,
     /// `None` for a request that did not wait.
-    tx: Option<oneshot::Sender<Answer>>,
+    tx: Option<oneshot::Sender<Reply>>,
 }
 
 /// Where a request was charged.
@@ -122,7 +122,7 @@
             CountedBy::Entry => {
                 let shares = &mut state.quotas.shares;
                 if let Ok(i) = position(shares, &self.workspace) {
-                    shares[i].1.give_back(self.cost, now);
+                    shares[i].1.refund(self.cost, now);
                 }
             }
         }
@@ -152,21 +152,21 @@
     workspace: &Workspace,
     opts: &Options<'_>,
 ) -> Result<Option<Grant>, Refusal> {
-    let Some(allowance) = workspace.allowance else {
+    let Some(quota) = workspace.quota else {
         return Ok(None);
     };
-    let cost = allowance.unit.cost(opts.tokens);
-    let mut request = Ask {
+    let cost = quota.unit.cost(opts.tokens);
+    let mut request = Request {
         workspace: workspace.name.clone(),
         version: opts.version,
-        allowance,
+        quota,
         cost,
-        limit: opts.objective / WAIT_DIVISOR,
-        passed: false,
+        max_wait: opts.objective / WAIT_DIVISOR,
+        admitted: false,
         stand_in: false,
     };
-    let small = cost <= allowance.burst * SMALL_FRACTION;
-    request.passed = small && !cx.state().quotas.is_overdrawn(&request.workspace, cx.now());
+    let small = cost <= quota.burst * SMALL_FRACTION;
+    request.admitted = small && !cx.state().quotas.is_overdrawn(&request.workspace, cx.now());
     let (reply, by) = match request_from_agents(cx, &mut request).await {
         Some(both) => both,
         None => (charge_share(cx, &request), CountedBy::Entry),
@@ -190,14 +190,14 @@
         by,
         may_have_run: AtomicBool::new(false),
     };
-    // A request that was passed does not wait, even if its workspace is overdrawn.
-    if !request.passed && !reply.wait.is_zero() {
+    // An admitted request does not wait, even if its workspace is overdrawn.
+    if !request.admitted && !reply.wait.is_zero() {
         sleep(reply.wait).await;
     }
     Ok(Some(grant))
 }
 
-fn count_outcome(cx: &Context, reply: &Answer, by: CountedBy) {
+fn count_outcome(cx: &Context, reply: &Reply, by: CountedBy) {
     let by = match by {
         CountedBy::Agent(_) => "agent",
         CountedBy::Entry => "entry",
@@ -207,13 +207,16 @@
     cx.page.count("allowances_total", &labels, 1);
 }
 
-async fn request_from_agents(cx: &Arc<Context>, request: &mut Ask) -> Option<(Answer, CountedBy)> {
+async fn request_from_agents(
+    cx: &Arc<Context>,
+    request: &mut Request,
+) -> Option<(Reply, CountedBy)> {
     for _ in 0..MAX_AGENTS {
         let now = cx.now();
         let (engine, rx) = cx.state().request_quota(request, now)?;
         let by = CountedBy::Agent(engine);
         let Some(rx) = rx else {
-            let reply = Answer {
+            let reply = Reply {
                 granted: true,
                 wait: Duration::ZERO,
             };
@@ -232,10 +235,10 @@
 }
 
 /// Charges this entry's own share.
-fn charge_share(cx: &Context, request: &Ask) -> Answer {
+fn charge_share(cx: &Context, request: &Request) -> Reply {
     let now = cx.now();
     let entries = cx.entries();
-    let own_share: Allowance = share(request.allowance, entries);
+    let own_share: Quota = share(request.quota, entries);
     let mut state = cx.state();
     let shares = &mut state.quotas.shares;
     let i = position(shares, &request.workspace).unwrap_or_else(|i| {
@@ -244,11 +247,11 @@
     });
     let bucket = &mut shares[i].1;
     bucket.set(own_share, now);
-    bucket.spend(request.cost, request.limit, now)
+    bucket.spend(request.cost, request.max_wait, now)
 }
 
 /// Handles an agent's reply.
-pub(crate) fn receive_reply(cx: &Context, engine: SocketAddr, seq: u64, reply: Answer) {
+pub(crate) fn receive_reply(cx: &Context, engine: SocketAddr, seq: u64, reply: Reply) {
     let now = cx.now();
     let mut state = cx.state();
     let pending = &mut state.quotas.pending;
@@ -294,19 +297,19 @@
     /// Sends a request to the owner of a workspace. The receiver is missing for a request that does not wait.
     fn request_quota(
         &mut self,
-        request: &mut Ask,
+        request: &mut Request,
         now: Duration,
-    ) -> Option<(SocketAddr, Option<oneshot::Receiver<Answer>>)> {
+    ) -> Option<(SocketAddr, Option<oneshot::Receiver<Reply>>)> {
         let owner = self.owner(&request.workspace, now)?;
         request.stand_in = owner.stand_in;
         let seq = self.next_seq();
         let i = self.agent(owner.engine)?;
-        let msg = ToAgent::Allow {
+        let msg = ToAgent::QuotaRequest {
             seq,
-            ask: request.clone(),
+            request: request.clone(),
         };
         self.agents[i].tx.try_send(msg).ok()?;
-        let (tx, rx) = match request.passed {
+        let (tx, rx) = match request.admitted {
             true => (None, None),
             false => {
                 let (tx, rx) = oneshot::channel();
@@ -325,7 +328,7 @@
 
     fn refund(&self, engine: SocketAddr, workspace: &str, cost: f64) {
         if let Some(i) = self.agent(engine) {
-            let msg = ToAgent::GiveBack {
+            let msg = ToAgent::QuotaRefund {
                 workspace: workspace.into(),
                 cost,
             };
--- a/crates/stair-relay/src/relay.rs
+++ b/crates/stair-relay/src/relay.rs
@@ -16,7 +16,7 @@
 };
 use platform_adapter::request::Meta;
 use stair_fleet::{
-    seen::SUSPECT_TIME,
+    target_state::SUSPECT_DURATION,
     view::TargetKey, //
 };
 use stair_http::body::{
@@ -348,7 +348,7 @@
     let mut stale_engine = None;
     match outcome {
         Outcome::NotSent(_) => {
-            target_state.suspect_until = now + SUSPECT_TIME;
+            target_state.suspect_until = now + SUSPECT_DURATION;
         }
         Outcome::NotRun {
             misdirected: true,
@@ -359,24 +359,24 @@
             match &job.meta.model {
                 // The target has been replaced at its address, although the list still contains it.
                 _ if other => {
-                    target_state.leave();
+                    target_state.mark_removed();
                     stale_engine = Some(target_state.target.addr);
                 }
-                Some(model) => target_state.lacks(model),
-                None => target_state.learn(false),
+                Some(model) => target_state.mark_not_loaded(model),
+                None => target_state.record_attempt(false),
             }
         }
-        Outcome::NotRun { .. } => target_state.learn(false),
+        Outcome::NotRun { .. } => target_state.record_attempt(false),
         Outcome::Lost(_) | Outcome::Late => {
             attempts.ran += 1;
-            target_state.learn(false);
+            target_state.record_attempt(false);
         }
         Outcome::Head(live) => {
             attempts.ran += 1;
             if live.head.status.is_server_error() {
                 attempts.failures.add(key);
             } else {
-                target_state.learn(true);
+                target_state.record_attempt(true);
             }
         }
     }
--- a/crates/stair-relay/src/replicate.rs
+++ b/crates/stair-relay/src/replicate.rs
@@ -243,7 +243,7 @@
         if revision <= state.view.revision {
             return;
         }
-        state.view.replace_by_peers(listed, revision, cx.now());
+        state.view.replace_from_peer(listed, revision, cx.now());
         state.drop_stale_incarnations();
     }
     log_list(cx, revision, count, peer);
--- a/crates/stair-relay/src/select.rs
+++ b/crates/stair-relay/src/select.rs
@@ -17,7 +17,7 @@
         decide,
         is_fast, //
     },
-    target::Copy,
+    target::CopyLocation,
     view::TargetKey,
 };
 use stair_telemetry::event::Line;
@@ -305,7 +305,7 @@
     let state = cx.state();
     let now = cx.now();
     let at = cold_start::choose(&state.view, &job.service, engine, model, excluded, now)?;
-    (at.from != Copy::Store).then_some(at)
+    (at.from != CopyLocation::Store).then_some(at)
 }
 
 pub(crate) fn find_ready(
@@ -340,7 +340,7 @@
     let (addr, id, age) = {
         let state = cx.state();
         let target_state = state.view.get(at.key);
-        if !target_state.takes(suspects, cx.now()) {
+        if !target_state.accepts(suspects, cx.now()) {
             return None;
         }
         let age = target_state
@@ -387,7 +387,7 @@
     let addr = {
         let state = cx.state();
         let target_state = state.view.get(key);
-        let held = target_state.holds(cx.now()).model(model);
+        let held = target_state.inventory(cx.now()).model(model);
         if held.is_some_and(|h| h.adapters.contains(adapter)) {
             return true;
         }
@@ -400,7 +400,7 @@
         victims: Vec::new(),
         fetch: None,
         prefetch: false,
-        of_use: ADAPTER_TIMEOUT,
+        timeout: ADAPTER_TIMEOUT,
     };
     let begun = Instant::now();
     let Some(mut pending) = cx.request_load(addr, req) else {
--- a/crates/stair-relay/src/stream.rs
+++ b/crates/stair-relay/src/stream.rs
@@ -144,7 +144,7 @@
     cx.state()
         .view
         .get_mut(key)
-        .learn_delay((took - selected.wait_ms).max(0.0) / 4.0);
+        .record_delay((took - selected.wait_ms).max(0.0) / 4.0);
     cx.page.time("first_event_ms", &[], job.received.elapsed());
     let (tx, body) = channel(QUEUE);
     let pump = Pump {
@@ -350,7 +350,7 @@
         if !resumable || !self.attempts.may_run_again(&self.job) {
             return self.job.deadline;
         }
-        let pause = self.job.route.client_waits() / HUNG_DIVISOR;
+        let pause = self.job.route.client_timeout() / HUNG_DIVISOR;
         (Instant::now() + pause).min(self.job.deadline)
     }
 
