--- a/crates/stair-relay/src/context/agents.rs
+++ b/crates/stair-relay/src/context/agents.rs
@@ -87,14 +87,16 @@
     }
 
     /// Requests a prefill slot from the agent of an engine. Returns `None` when there is no link.
-    pub fn reserve(&self, engine: SocketAddr, ask: Request) -> Option<oneshot::Receiver<Reply>> {
+    pub fn reserve(
+        &self,
+        engine: SocketAddr,
+        request: Request,
+    ) -> Option<oneshot::Receiver<Reply>> {
         let mut state = self.state();
         let seq = state.next_seq();
         let i = state.agent(engine)?;
         let link = &mut state.agents[i];
-        link.tx
-            .try_send(ToAgent::Prefill { seq, request: ask })
-            .ok()?;
+        link.tx.try_send(ToAgent::Prefill { seq, request }).ok()?;
         let (tx, rx) = oneshot::channel();
         link.pending_slots.push((seq, tx));
         Some(rx)
--- a/crates/stair-relay/src/links.rs
+++ b/crates/stair-relay/src/links.rs
@@ -254,7 +254,7 @@
                 cx.state().view.set_load_at(engine, *load, now);
             }
             ToEntry::LoadReply { seq, outcome } => {
-                let waiting = {
+                let waiter = {
                     let mut state = cx.state();
                     let Some(i) = state.agent(engine) else {
                         return Ended::Closed;
@@ -264,21 +264,21 @@
                     found.map(|i| list.swap_remove(i).1)
                 };
                 // The request that waited may have been dropped.
-                waiting.map(|tx| tx.send(outcome));
+                waiter.map(|tx| tx.send(outcome));
             }
-            ToEntry::Prefill { seq, reply: answer } => {
+            ToEntry::Prefill { seq, reply } => {
                 let mut state = cx.state();
                 let Some(i) = state.agent(engine) else {
                     return Ended::Closed;
                 };
                 let list = &mut state.agents[i].pending_slots;
                 let found = list.iter().position(|(s, _)| *s == seq);
-                let asked = found.map(|i| list.swap_remove(i).1);
-                let until = now + answer.backlog;
+                let waiter = found.map(|i| list.swap_remove(i).1);
+                let until = now + reply.backlog;
                 state.view.set_prefill_until(engine, until);
                 drop(state);
                 // The request that waited may have been dropped.
-                asked.map(|tx| tx.send(answer));
+                waiter.map(|tx| tx.send(reply));
             }
             ToEntry::QuotaReply { seq, reply } => quota::receive_reply(cx, engine, seq, reply),
             ToEntry::StaleIncarnation(id) => receive_stale_incarnation(cx, engine, id),
--- a/crates/stair-relay/src/load.rs
+++ b/crates/stair-relay/src/load.rs
@@ -116,8 +116,8 @@
     {
         return Loaded::EngineDown;
     }
-    let waits = until.saturating_duration_since(begun);
-    let of_use = at.ready_in.max(waits + DEFAULT_RETRY_AFTER) + RETURN_SLACK;
+    let remaining = until.saturating_duration_since(begun);
+    let of_use = at.ready_in.max(remaining + DEFAULT_RETRY_AFTER) + RETURN_SLACK;
     let Some(mut pending) = request(cx, model, at, of_use, false) else {
         return Loaded::Refused(at.key);
     };
--- a/crates/stair-relay/src/owner.rs
+++ b/crates/stair-relay/src/owner.rs
@@ -66,11 +66,11 @@
         let weight = |i: &usize| rendezvous::weight(name, &self.agents[*i].name);
         let all = 0..self.agents.len();
         let first = all.clone().max_by_key(weight)?;
-        let answers = |i: &usize| {
+        let is_available = |i: &usize| {
             let link = &self.agents[*i];
             link.linked && link.skipped_until <= now
         };
-        let chosen = all.filter(answers).max_by_key(weight)?;
+        let chosen = all.filter(is_available).max_by_key(weight)?;
         Some(Owner {
             engine: self.agents[chosen].engine,
             stand_in: chosen != first,
--- a/crates/stair-relay/src/prefill.rs
+++ b/crates/stair-relay/src/prefill.rs
@@ -77,21 +77,21 @@
     };
     let addr = cx.state().view.get(key).target.addr;
     let useful_wait = useful_wait(job, opts);
-    let limit = match job.more_urgent {
+    let max_wait = match job.more_urgent {
         Some(_) => useful_wait.min(MAX_YIELDING_WAIT),
         None => useful_wait,
     };
-    let spare = job.more_urgent.map(max_late_wait);
-    let ask = Request {
+    let urgent_max_wait = job.more_urgent.map(max_late_wait);
+    let request = Request {
         model: model.into(),
         blocks: job.prefix_blocks.clone(),
         tokens: u32::try_from(job.meta.prompt_tokens).unwrap_or(u32::MAX),
-        max_wait: limit,
-        urgent_max_wait: spare,
+        max_wait,
+        urgent_max_wait,
         pause: job.shortest_pause,
         first: opts.first,
     };
-    let Some(rx) = cx.reserve(addr, ask) else {
+    let Some(rx) = cx.reserve(addr, request) else {
         return Reservation::Granted(PromptEstimate::default());
     };
     let Ok(Ok(reply)) = timeout(RESERVE_TIMEOUT, rx).await else {
--- a/crates/stair-relay/src/quarantine.rs
+++ b/crates/stair-relay/src/quarantine.rs
@@ -312,8 +312,8 @@
 impl State {
     /// The engines whose agents keep the ledgers, in their common order.
     fn ledgers(&self, now: Duration) -> Vec<SocketAddr> {
-        let answers = |a: &&AgentLink| a.linked && a.skipped_until <= now;
-        let linked: Vec<_> = self.agents.iter().filter(answers).collect();
+        let is_available = |a: &&AgentLink| a.linked && a.skipped_until <= now;
+        let linked: Vec<_> = self.agents.iter().filter(is_available).collect();
         let ranked = rendezvous::ranked(LEDGER_KEY, linked.iter().map(|a| &*a.name));
         let first = ranked.into_iter().take(LEDGERS);
         first.map(|i| linked[i].engine).collect()
