--- a/crates/stair-relay/src/follow.rs
+++ b/crates/stair-relay/src/follow.rs
@@ -175,7 +175,7 @@
     }
 
     /// Publishes changes to followers in order. Deferred changes are published at intervals of
-    /// [`INVENTORY_INTERVAL`].
+    /// `INVENTORY_INTERVAL`.
     ///
     /// A deferred change is dropped when a later one arrives for its target. Sent after the later change, it
     /// would restore a target that has announced its shutdown, and requests sent there would be interrupted.
--- a/crates/stair-relay/src/prefill.rs
+++ b/crates/stair-relay/src/prefill.rs
@@ -70,7 +70,8 @@
     pub first: bool,
 }
 
-/// Waits for a prefill slot at a target. Without a reply of its agent the prompt may be sent at once.
+/// Waits for a prefill slot at a target. The prompt may be sent without one when there is no link to the
+/// target's agent, or when the agent does not reply although its VM is responsive.
 pub async fn reserve(cx: &Arc<Context>, job: &Job, key: TargetKey, opts: &Options) -> Reservation {
     let Some((model, _)) = job.model_of_engine() else {
         return Reservation::Granted(PromptEstimate::default());
