--- a/crates/stair-relay/src/context/agents.rs
+++ b/crates/stair-relay/src/context/agents.rs
@@ -70,9 +70,15 @@
     }
 
     /// Records the time from sending a prompt to its first event, to be reported to the engine's agent.
-    /// `reads` is the agent's estimate, and 0 if it gave none.
-    pub fn record_prefill(&self, key: TargetKey, job: &Job, reads: Duration, took: Duration) {
-        let Some((model, _)) = job.model_of_engine().filter(|_| !reads.is_zero()) else {
+    /// `prefill_time` is the agent's estimate, and 0 if it gave none.
+    pub fn record_prefill(
+        &self,
+        key: TargetKey,
+        job: &Job,
+        prefill_time: Duration,
+        took: Duration,
+    ) {
+        let Some((model, _)) = job.model_of_engine().filter(|_| !prefill_time.is_zero()) else {
             return;
         };
         let mut state = self.state();
@@ -80,7 +86,7 @@
         if let Some(i) = state.agent(engine) {
             state.agents[i].prefill_times.push(Measurement {
                 model: model.into(),
-                prefill_time: reads,
+                prefill_time,
                 took,
             });
         }
--- a/crates/stair-relay/src/load.rs
+++ b/crates/stair-relay/src/load.rs
@@ -117,8 +117,8 @@
         return Loaded::EngineDown;
     }
     let remaining = until.saturating_duration_since(begun);
-    let of_use = at.ready_in.max(remaining + DEFAULT_RETRY_AFTER) + RETURN_SLACK;
-    let Some(mut pending) = request(cx, model, at, of_use, false) else {
+    let timeout = at.ready_in.max(remaining + DEFAULT_RETRY_AFTER) + RETURN_SLACK;
+    let Some(mut pending) = request(cx, model, at, timeout, false) else {
         return Loaded::Refused(at.key);
     };
     log_load(job, model, at, "needed");
@@ -213,7 +213,7 @@
     cx: &Arc<Context>,
     model: &str,
     at: &cold_start::Outcome,
-    of_use: Duration,
+    timeout: Duration,
     prefetch: bool,
 ) -> Option<PendingLoad> {
     let (addr, together) = {
@@ -229,7 +229,7 @@
         victims: at.victims.clone(),
         fetch: (at.from == CopyLocation::Store).then_some(together),
         prefetch,
-        timeout: of_use,
+        timeout,
     };
     let pending = cx.request_load(addr, req)?;
     let from = [("from", copy_label(at.from))];
