--- a/crates/stair-relay/src/context/agents.rs
+++ b/crates/stair-relay/src/context/agents.rs
@@ -27,16 +27,16 @@
 use crate::job::Job;
 
 impl Context {
-    /// Tells the agent at an address that its engine has said it is not this life.
-    pub fn report_former(&self, engine: SocketAddr, id: Box<str>) {
+    /// Reports to the agent of an engine that the engine has disowned the incarnation `id`.
+    pub fn report_stale_incarnation(&self, engine: SocketAddr, id: Box<str>) {
         let state = self.state();
         if let Some(i) = state.agent(engine) {
-            // An agent that does not read finds out by its own orders.
+            // A full queue may drop the message: the agent finds out by its own orders.
             let _ = state.agents[i].tx.try_send(ToAgent::StaleIncarnation(id));
         }
     }
 
-    /// Asks the agent of an engine for a model or adapter. `None` when there is no link.
+    /// Requests a model or adapter from the agent of an engine. Returns `None` when there is no link.
     pub fn request_load(
         self: &Arc<Self>,
         engine: SocketAddr,
@@ -49,13 +49,13 @@
         let seq = req.seq;
         link.tx.try_send(ToAgent::LoadRequest(req)).ok()?;
         let (tx, rx) = oneshot::channel();
-        link.waiting.push((seq, tx));
+        link.pending_loads.push((seq, tx));
         Some(PendingLoad {
             cx: self.clone(),
             engine,
             seq,
             rx,
-            open: true,
+            cancel_on_drop: true,
         })
     }
 
@@ -63,39 +63,48 @@
         let mut state = self.state();
         if let Some(i) = state.agent(engine) {
             let link = &mut state.agents[i];
-            link.waiting.retain(|(s, _)| *s != seq);
-            // An agent that does not read forgets it when the link ends.
+            link.pending_loads.retain(|(s, _)| *s != seq);
+            // A full queue may drop the message: the agent drops the request when the link ends.
             let _ = link.tx.try_send(ToAgent::Cancel(seq));
         }
     }
 
-    /// Takes in how long an engine took until the first event of a prompt, for its agent.
-    pub fn was_read(&self, key: TargetKey, job: &Job, reads: Duration, took: Duration) {
-        let Some((model, _)) = job.model_of_engine().filter(|_| !reads.is_zero()) else {
+    /// Records the time from sending a prompt to its first event, to be reported to the engine's agent.
+    /// `prefill_time` is the agent's estimate, and 0 if it gave none.
+    pub fn record_prefill(
+        &self,
+        key: TargetKey,
+        job: &Job,
+        prefill_time: Duration,
+        took: Duration,
+    ) {
+        let Some((model, _)) = job.model_of_engine().filter(|_| !prefill_time.is_zero()) else {
             return;
         };
         let mut state = self.state();
         let engine = state.view.get(key).target.addr;
         if let Some(i) = state.agent(engine) {
-            state.agents[i].read.push(Measurement {
+            state.agents[i].prefill_times.push(Measurement {
                 model: model.into(),
-                prefill_time: reads,
+                prefill_time,
                 took,
             });
         }
     }
 
-    /// Asks the agent of an engine for a prompt's prefill slot. `None` when there is no link.
-    pub fn reserve(&self, engine: SocketAddr, ask: Request) -> Option<oneshot::Receiver<Reply>> {
+    /// Requests a prefill slot from the agent of an engine. Returns `None` when there is no link.
+    pub fn reserve(
+        &self,
+        engine: SocketAddr,
+        request: Request,
+    ) -> Option<oneshot::Receiver<Reply>> {
         let mut state = self.state();
         let seq = state.next_seq();
         let i = state.agent(engine)?;
         let link = &mut state.agents[i];
-        link.tx
-            .try_send(ToAgent::Prefill { seq, request: ask })
-            .ok()?;
+        link.tx.try_send(ToAgent::Prefill { seq, request }).ok()?;
         let (tx, rx) = oneshot::channel();
-        link.reservations.push((seq, tx));
+        link.pending_slots.push((seq, tx));
         Some(rx)
     }
 }
--- a/crates/stair-relay/src/follow.rs
+++ b/crates/stair-relay/src/follow.rs
@@ -1,10 +1,10 @@
-//! Replicates the store's changes from the one entry of the data centre that watches it.
+//! Replicates changes of the store from the entry of the data centre that watches it.
 //!
-//! Load: many entries that would each watch a list which changes many times a second.
+//! The list of targets changes many times a second; one watch for each entry would load the store.
 //!
-//! Agents name the watcher: the entry with the least name in the data centre. A follower that receives nothing for
-//! a while watches by itself until it can follow again. A watcher serves followers only while its own calls to the
-//! store are answered in time.
+//! Agents report the watcher: the entry with the least name in the data centre. A follower that receives
+//! nothing in time watches by itself until it can follow again. A watcher serves followers only while the
+//! store replies to its own calls in time.
 
 use std::{
     sync::{
@@ -46,171 +46,173 @@
 use crate::{
     change::{
         TargetChange,
-        Weight, //
+        Urgency, //
     },
     context::Context,
     peers::{
-        Ask,
-        Question, //
+        PeerRequest, //
+        Versions,
     },
     replicate,
 };
 
-/// Time to open a connection to the entry that watches.
-const CONNECT_TIME: Duration = Duration::from_millis(500);
+/// Limit for connecting to the watcher.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Time without a message after which a watcher is not followed any longer: three heartbeats.
-const SILENCE: Duration = Duration::from_millis(750);
+/// Time without a message after which a watcher is no longer followed: three heartbeats.
+const SILENCE_TIMEOUT: Duration = Duration::from_millis(750);
 
-/// Pause between heartbeats while there is nothing to tell.
-const HEARTBEAT: Duration = Duration::from_millis(250);
+/// Interval of heartbeats while nothing changes.
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Pause before an entry is followed again.
-const PAUSE: Duration = Duration::from_millis(1000);
+/// Pause before the watcher is followed again.
+const RECONNECT_PAUSE: Duration = Duration::from_millis(1000);
 
-/// Time beyond that of a watch within which the store has to answer it.
-const VOUCH_TIME: Duration = Duration::from_millis(300);
+/// Time beyond the duration of a watch within which the store has to reply to it.
+const REPLY_SLACK: Duration = Duration::from_millis(300);
 
-/// Pause between reports of what targets hold, which their agents report at once.
-const HOLDS_EVERY: Duration = Duration::from_millis(4000);
+/// Interval in which followers are sent the inventories of targets, which agents report directly.
+const INVENTORY_INTERVAL: Duration = Duration::from_millis(4000);
 
-/// Changes that wait for one follower; one that has missed some begins anew.
+/// Capacity of the queue of changes to one follower; a follower that misses changes starts again with the
+/// whole list.
 const QUEUE: usize = 64;
 
-/// What an entry watches.
+/// A part of the state that an entry watches.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Part {
-    /// What operators declare.
+pub enum Watched {
+    /// The catalogue that operators declare.
     Catalogue,
     /// The list of targets.
     Targets,
 }
 
-/// What has changed, for the connections of followers.
+/// A change of the replicated state, published to the connections of followers.
 #[derive(Debug, Clone)]
-pub enum News {
+pub enum StateChange {
     /// Another catalogue is in force.
     Catalogue,
     /// The whole list of targets was replaced.
     Whole,
-    /// Changes of the list, and the revision that it is complete up to.
+    /// Changes of the list, and the store's revision up to which the list is then complete.
     Changes(Arc<[TargetChange]>, u64),
 }
 
-/// What an entry tells those that follow it.
+/// A message to a follower.
 #[derive(Debug, Serialize, Deserialize)]
 enum Update {
     Catalogue(Catalogue),
     Whole(Vec<Listed>, u64),
     Changes(Vec<TargetChange>, u64),
-    /// Nothing is new.
+    /// A heartbeat without changes.
     Alive,
 }
 
-/// Whether this entry follows another, and what it tells those that follow it.
+/// Whether this entry follows another one, and the changes for its own followers.
 pub struct Follow {
     follows: watch::Sender<bool>,
-    news: broadcast::Sender<News>,
+    updates: broadcast::Sender<StateChange>,
     state: Mutex<State>,
 }
 
 struct State {
-    /// Until when the store's next word on each part is on time; `None` after a call that failed.
-    on_time: [Option<Instant>; 2],
-    /// The last words of what targets hold that have not been told, by id.
-    minor: Vec<TargetChange>,
-    minor_told: Instant,
+    /// The time by which the store's next reply is due, indexed by [`Watched`]; `None` after a failed call.
+    reply_due: [Option<Instant>; 2],
+    /// The last deferred change of each target that has not been sent.
+    deferred: Vec<TargetChange>,
+    deferred_sent_at: Instant,
 }
 
 impl Default for Follow {
     fn default() -> Self {
         Self {
             follows: watch::Sender::new(false),
-            news: broadcast::Sender::new(QUEUE),
+            updates: broadcast::Sender::new(QUEUE),
             state: Mutex::new(State {
-                on_time: [None; 2],
-                minor: Vec::new(),
-                minor_told: Instant::now(),
+                reply_due: [None; 2],
+                deferred: Vec::new(),
+                deferred_sent_at: Instant::now(),
             }),
         }
     }
 }
 
 impl Follow {
-    /// Whether this entry hears the store's news from another one.
+    /// Whether this entry follows another one at present.
     pub fn follows(&self) -> bool {
         *self.follows.borrow()
     }
 
     /// Waits until this entry has to watch the store itself.
-    pub async fn until_alone(&self) {
-        // The sender lives as long as this.
+    pub async fn until_not_following(&self) {
+        // The sender outlives this wait.
         let _ = self.follows.subscribe().wait_for(|f| !*f).await;
     }
 
-    /// The time of a watch: another one while others follow.
-    pub fn wait(&self, alone: Duration, followed: Duration) -> Duration {
-        match self.news.receiver_count() {
+    /// The duration of a watch: `followed` while other entries follow this one, otherwise `alone`.
+    pub fn watch_duration(&self, alone: Duration, followed: Duration) -> Duration {
+        match self.updates.receiver_count() {
             0 => alone,
             _ => followed,
         }
     }
 
-    /// Notes that the store's next word on a part is due within a time: a watch has begun, or will after a
+    /// Records that the store's next reply is due within `within`: a watch has begun, or begins after a
     /// pause.
-    pub fn expects(&self, part: Part, within: Duration) {
-        self.state().on_time[part as usize] = Some(Instant::now() + within + VOUCH_TIME);
+    pub fn expect_reply(&self, watched: Watched, within: Duration) {
+        self.state().reply_due[watched as usize] = Some(Instant::now() + within + REPLY_SLACK);
     }
 
-    /// Notes that a call for a part has failed.
-    pub fn fails(&self, part: Part) {
-        self.state().on_time[part as usize] = None;
+    /// Records that a call of the store has failed.
+    pub fn record_failure(&self, watched: Watched) {
+        self.state().reply_due[watched as usize] = None;
     }
 
-    /// Tells followers.
-    pub fn publish(&self, news: News) {
-        // Nobody follows when this fails.
-        let _ = self.news.send(news);
+    /// Publishes a change to followers.
+    pub fn publish(&self, change: StateChange) {
+        // An error means that there are no followers.
+        let _ = self.updates.send(change);
     }
 
-    /// Tells followers of changes, in their order; the minor ones only now and then.
+    /// Publishes changes to followers in order. Deferred changes are published at intervals of
+    /// `INVENTORY_INTERVAL`.
     ///
-    /// A minor word that waits is dropped when a later one comes for its target. Told after that, it would
-    /// bring back a target that has said that it leaves, and requests sent there would be cut.
-    pub fn changed(&self, changes: Vec<(TargetChange, Weight)>, revision: u64) {
+    /// A deferred change is dropped when a later one arrives for its target. Sent after the later change, it
+    /// would restore a target that has announced its shutdown, and requests sent there would be interrupted.
+    pub fn changed(&self, changes: Vec<(TargetChange, Urgency)>, revision: u64) {
         let mut state = self.state();
-        if self.news.receiver_count() == 0 {
-            state.minor.clear();
+        if self.updates.receiver_count() == 0 {
+            state.deferred.clear();
             return;
         }
         let mut update = Vec::new();
-        for (change, weight) in changes {
-            state.minor.retain(|c| c.id() != change.id());
-            match weight {
-                Weight::Major => update.push(change),
-                Weight::Minor => state.minor.push(change),
+        for (change, urgency) in changes {
+            state.deferred.retain(|c| c.id() != change.id());
+            match urgency {
+                Urgency::Immediate => update.push(change),
+                Urgency::Deferred => state.deferred.push(change),
             }
         }
-        if state.minor_told.elapsed() >= HOLDS_EVERY {
-            state.minor_told = Instant::now();
-            update.append(&mut state.minor);
+        if state.deferred_sent_at.elapsed() >= INVENTORY_INTERVAL {
+            state.deferred_sent_at = Instant::now();
+            update.append(&mut state.deferred);
         }
         drop(state);
-        self.publish(News::Changes(update.into(), revision));
+        self.publish(StateChange::Changes(update.into(), revision));
     }
 
-    /// Whether what operators declared lately is known here: the store's word on it, or that of the entry that
-    /// is followed, is on time.
+    /// Whether the catalogue is up to date here: the store or the watcher that is followed has replied in
+    /// time.
     pub fn is_current(&self) -> bool {
-        let due = self.state().on_time[Part::Catalogue as usize];
+        let due = self.state().reply_due[Watched::Catalogue as usize];
         self.follows() || due.is_some_and(|t| Instant::now() < t)
     }
 
-    /// Whether others may rely on what this entry knows.
-    fn vouches(&self) -> bool {
+    /// Whether other entries may follow this one: it watches by itself, and the store replies in time.
+    fn is_authoritative(&self) -> bool {
         let now = Instant::now();
-        let on_time = self.state().on_time;
-        !self.follows() && on_time.iter().all(|t| t.is_some_and(|t| now < t))
+        let reply_due = self.state().reply_due;
+        !self.follows() && reply_due.iter().all(|t| t.is_some_and(|t| now < t))
     }
 
     fn state(&self) -> MutexGuard<'_, State> {
@@ -218,7 +220,7 @@
     }
 }
 
-/// Follows the entry that watches the store, for as long as the process runs.
+/// Follows the entry that watches the store, until the process ends.
 pub async fn keep(cx: Arc<Context>) {
     loop {
         if let Some(peer) = watcher(&cx) {
@@ -230,7 +232,7 @@
                     .write();
             }
         }
-        sleep(PAUSE).await;
+        sleep(RECONNECT_PAUSE).await;
     }
 }
 
@@ -243,32 +245,32 @@
         .filter(|p| p.entry != cx.settings.name)
 }
 
-/// Why a peer is not followed any longer.
+/// Why a peer is no longer followed.
 #[derive(Debug, thiserror::Error)]
 enum Ended {
-    #[error("no connection")]
+    #[error("cannot connect")]
     NotOpened,
-    #[error("no word in time")]
+    #[error("no message in time")]
     Silent,
     #[error(transparent)]
     Frame(#[from] frame::Error),
 }
 
-/// Takes in what a peer tells, until it tells nothing more.
+/// Applies the updates of a peer until the connection ends or is silent.
 async fn receive(cx: &Arc<Context>, peer: &Peer) -> Ended {
-    let Ok(Ok(mut stream)) = timeout(CONNECT_TIME, TcpStream::connect(peer.addr)).await else {
+    let Ok(Ok(mut stream)) = timeout(CONNECT_TIMEOUT, TcpStream::connect(peer.addr)).await else {
         return Ended::NotOpened;
     };
     let own = cx.replication_state();
-    let question = Question::Follow(Ask {
+    let request = PeerRequest::Follow(Versions {
         catalogue: own.catalogue,
         targets: own.targets,
     });
-    if let Err(e) = frame::write_message(&mut stream, &question).await {
+    if let Err(e) = frame::write_message(&mut stream, &request).await {
         return e.into();
     }
     loop {
-        let update = match timeout(SILENCE, frame::read_message(&mut stream)).await {
+        let update = match timeout(SILENCE_TIMEOUT, frame::read_message(&mut stream)).await {
             Ok(Ok(update)) => update,
             Ok(Err(e)) => return e.into(),
             Err(_) => return Ended::Silent,
@@ -276,9 +278,9 @@
         match update {
             Update::Catalogue(catalogue) => replicate::apply_catalogue(cx, catalogue, &peer.entry),
             Update::Whole(list, revision) => {
-                replicate::apply_listed(cx, list, revision, &peer.entry)
+                replicate::apply_peer_list(cx, list, revision, &peer.entry)
             }
-            Update::Changes(changes, revision) => replicate::take_changes(cx, changes, revision),
+            Update::Changes(changes, revision) => replicate::apply_changes(cx, changes, revision),
             Update::Alive => {}
         }
         if !cx.follow.follows.send_replace(true) {
@@ -287,34 +289,34 @@
     }
 }
 
-/// Tells one follower all that is newer than what it has, and then what is new, for as long as this entry
-/// vouches for it.
-pub async fn serve(cx: &Context, ask: &Ask, mut w: OwnedWriteHalf) {
-    let mut news = cx.follow.news.subscribe();
-    let mut next = first(cx, ask);
+/// Sends one follower the state that is newer than its own, and then all changes while this entry is
+/// authoritative.
+pub async fn serve(cx: &Context, known: &Versions, mut w: OwnedWriteHalf) {
+    let mut updates = cx.follow.updates.subscribe();
+    let mut next = initial_updates(cx, known);
     loop {
         for update in next {
-            if !cx.follow.vouches() || !write(&mut w, &update).await {
+            if !cx.follow.is_authoritative() || !write(&mut w, &update).await {
                 return;
             }
         }
-        next = match timeout(HEARTBEAT, news.recv()).await {
+        next = match timeout(HEARTBEAT_INTERVAL, updates.recv()).await {
             Err(_) => vec![Update::Alive],
-            Ok(Ok(News::Catalogue)) => catalogue(cx, 0).into_iter().collect(),
-            Ok(Ok(News::Whole)) => vec![whole(cx)],
-            Ok(Ok(News::Changes(changes, revision))) => {
+            Ok(Ok(StateChange::Catalogue)) => catalogue(cx, 0).into_iter().collect(),
+            Ok(Ok(StateChange::Whole)) => vec![full_list(cx)],
+            Ok(Ok(StateChange::Changes(changes, revision))) => {
                 vec![Update::Changes(changes.to_vec(), revision)]
             }
-            // It has missed some, and begins anew.
+            // The follower has missed changes; it reconnects and gets the whole list.
             Ok(Err(_)) => return,
         };
     }
 }
 
-fn first(cx: &Context, ask: &Ask) -> Vec<Update> {
-    let mut out: Vec<Update> = catalogue(cx, ask.catalogue).into_iter().collect();
-    if cx.state().view.revision > ask.targets {
-        out.push(whole(cx));
+fn initial_updates(cx: &Context, known: &Versions) -> Vec<Update> {
+    let mut out: Vec<Update> = catalogue(cx, known.catalogue).into_iter().collect();
+    if cx.state().view.revision > known.targets {
+        out.push(full_list(cx));
     }
     out.push(Update::Alive);
     out
@@ -326,14 +328,14 @@
     Some(Update::Catalogue((**newer).clone()))
 }
 
-fn whole(cx: &Context) -> Update {
+fn full_list(cx: &Context) -> Update {
     let state = cx.state();
     Update::Whole(state.view.list(cx.now()), state.view.revision)
 }
 
 async fn write(w: &mut OwnedWriteHalf, update: &Update) -> bool {
     matches!(
-        timeout(SILENCE, frame::write_message(w, update)).await,
+        timeout(SILENCE_TIMEOUT, frame::write_message(w, update)).await,
         Ok(Ok(()))
     )
 }
--- a/crates/stair-relay/src/links.rs
+++ b/crates/stair-relay/src/links.rs
@@ -1,7 +1,7 @@
-//! Hears the agents and asks them.
+//! Links to agents: receives their reports and sends them requests.
 //!
-//! One link to the agent of each engine in the list. A link that hears nothing for a while is
-//! opened anew: its connection may have fallen silent.
+//! There is one link to the agent of each listed engine. A link without messages is opened again, since its
+//! connection may be dead without an error.
 
 use std::{
     io::ErrorKind,
@@ -16,7 +16,7 @@
         ToAgent,
         ToEntry, //
     },
-    target::State as TargetState,
+    target::State,
     target_state::UNRESPONSIVE_TIMEOUT,
 };
 use stair_telemetry::event::Line;
@@ -39,49 +39,49 @@
 };
 
 use crate::{
-    allowance,
     context::{
         AgentLink,
         Context, //
     },
-    quarantine,
+    quarantine, quota,
 };
 
-/// Time to open a link.
-const CONNECT_TIME: Duration = Duration::from_millis(500);
+/// Limit for opening a link.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Pause before a link is opened anew.
-const PAUSE: Duration = Duration::from_millis(400);
+/// Pause before a link is opened again.
+const RECONNECT_PAUSE: Duration = Duration::from_millis(400);
 
-/// Time without a message after which a link is dead; agents report every second.
-const SILENCE: Duration = Duration::from_millis(2500);
+/// Time without a message after which a link is closed; agents report every second.
+const SILENCE_TIMEOUT: Duration = Duration::from_millis(2500);
 
-/// Pause between looks for what is to be sent to an agent.
-const TICK: Duration = Duration::from_millis(250);
+/// Interval in which messages to an agent are collected.
+const SEND_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Links up to which that pause holds. It grows in proportion beyond, to bound the processor time of small VMs.
-const TICK_LINKS: u32 = 16;
+/// Number of links up to which [`SEND_INTERVAL`] applies. Beyond, the interval grows in proportion, which
+/// bounds the processor time on small VMs.
+const SEND_INTERVAL_LINKS: u32 = 16;
 
-/// Longest pause; agents take an entry for gone after several of them.
-const MAX_TICK: Duration = Duration::from_millis(1000);
+/// Longest interval; agents count an entry as disconnected after several of them without a message.
+const MAX_SEND_INTERVAL: Duration = Duration::from_millis(1000);
 
-/// Time between heartbeats.
-const HEARTBEAT: Duration = Duration::from_millis(1000);
+/// Longest time between two hello messages to an agent.
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(1000);
 
-/// Pause between looks for VMs that stand still.
-const LOOK_EVERY: Duration = Duration::from_millis(200);
+/// Interval of the checks for unresponsive VMs.
+const CHECK_INTERVAL: Duration = Duration::from_millis(200);
 
-/// A look that comes so late shows that this process has stood still itself.
-const LATE_LOOK: Duration = Duration::from_millis(600);
+/// Time since the previous check that shows that this process was frozen itself.
+const LATE_CHECK: Duration = Duration::from_millis(600);
 
-/// Messages waiting for one agent.
+/// Capacity of the queue of messages to one agent.
 const QUEUE: usize = 64;
 
-/// Keeps a link to the agent of each listed engine, for as long as the process runs.
+/// Keeps a link to the agent of each listed engine until the process ends.
 pub async fn keep(cx: Arc<Context>) {
     loop {
         let changed = cx.changed.notified();
-        for engine in missing(&cx) {
+        for engine in unlinked_engines(&cx) {
             let (tx, rx) = mpsc::channel(QUEUE);
             let link = AgentLink {
                 engine,
@@ -90,10 +90,10 @@
                 skipped_until: Duration::ZERO,
                 tx,
                 entries: 0,
-                former: None,
-                read: Vec::new(),
-                waiting: Vec::new(),
-                reservations: Vec::new(),
+                stale_incarnation: None,
+                prefill_times: Vec::new(),
+                pending_loads: Vec::new(),
+                pending_slots: Vec::new(),
             };
             let mut state = cx.state();
             if let Err(i) = state.agents.binary_search_by_key(&engine, |a| a.engine) {
@@ -105,31 +105,32 @@
     }
 }
 
-/// Finds out which VMs stand still, for as long as the process runs.
+/// Detects unresponsive VMs until the process ends.
 ///
-/// A target on such a VM takes connections and answers nothing. Its requests would wait until their clients
-/// leave, and new ones would join them for as long as the list has it: three heartbeats.
-pub async fn look_for_quiet(cx: Arc<Context>) {
-    let mut looked = Instant::now();
+/// A target on an unresponsive VM accepts connections and sends no response. Its requests would wait until
+/// their clients disconnect, and new requests would be sent there until the list drops it after three
+/// heartbeats.
+pub async fn detect_unresponsive(cx: Arc<Context>) {
+    let mut checked_at = Instant::now();
     let mut trusted_from = Instant::now();
     loop {
-        sleep(LOOK_EVERY).await;
-        let late = looked.elapsed() >= LATE_LOOK;
-        looked = Instant::now();
+        sleep(CHECK_INTERVAL).await;
+        let late = checked_at.elapsed() >= LATE_CHECK;
+        checked_at = Instant::now();
         if late {
-            // What agents said meanwhile is still to be read.
-            trusted_from = looked + UNRESPONSIVE_TIMEOUT;
+            // Reports that arrived meanwhile have not been read yet.
+            trusted_from = checked_at + UNRESPONSIVE_TIMEOUT;
         }
-        if looked < trusted_from {
+        if checked_at < trusted_from {
             continue;
         }
-        let quiet = cx.state().view.mark_unresponsive(cx.now());
-        cx.are_quiet(&quiet);
+        let unresponsive = cx.state().view.mark_unresponsive(cx.now());
+        cx.report_unresponsive(&unresponsive);
     }
 }
 
-/// Engines without a link.
-fn missing(cx: &Context) -> Vec<SocketAddr> {
+/// The addresses of listed engines without a link.
+fn unlinked_engines(cx: &Context) -> Vec<SocketAddr> {
     let state = cx.state();
     let Some(catalogue) = &state.catalogue else {
         return Vec::new();
@@ -149,12 +150,12 @@
 
 async fn run(cx: Arc<Context>, engine: SocketAddr, mut rx: mpsc::Receiver<ToAgent>) {
     let agent = SocketAddr::new(engine.ip(), cx.settings.agent_port);
-    while listed(&cx, engine) {
-        match timeout(CONNECT_TIME, TcpStream::connect(agent)).await {
+    while is_listed(&cx, engine) {
+        match timeout(CONNECT_TIMEOUT, TcpStream::connect(agent)).await {
             Ok(Ok(stream)) => {
                 Line::new("agent.linked").show("engine", engine).write();
-                begin(&cx, engine);
-                let ended = speak(&cx, engine, stream, &mut rx).await;
+                mark_linked(&cx, engine);
+                let ended = exchange(&cx, engine, stream, &mut rx).await;
                 Line::failure("agent.lost")
                     .show("engine", engine)
                     .show("why", format_args!("{ended:?}"))
@@ -163,17 +164,18 @@
                     cx.state().view.agent_disconnected_at(engine);
                 }
             }
-            // Its VM answers and no agent is there.
+            // The VM responds, but no agent runs there.
             Ok(Err(e)) if e.kind() == ErrorKind::ConnectionRefused => {
                 cx.state().view.agent_disconnected_at(engine);
             }
-            // No sign of the VM, or this process is out of descriptors.
+            // The VM does not respond, or this process has run out of file descriptors.
             Ok(Err(_)) | Err(_) => {}
         }
-        // Also when no link came up: what was asked meanwhile would wait for its whole time.
-        forget(&cx, engine);
+        // Needed also when no link was opened, since requests made meanwhile would wait for their whole
+        // timeout.
+        mark_unlinked(&cx, engine);
         while rx.try_recv().is_ok() {}
-        sleep(PAUSE).await;
+        sleep(RECONNECT_PAUSE).await;
     }
     let mut state = cx.state();
     if let Some(i) = state.agent(engine) {
@@ -181,52 +183,52 @@
     }
 }
 
-fn listed(cx: &Context, engine: SocketAddr) -> bool {
+fn is_listed(cx: &Context, engine: SocketAddr) -> bool {
     let state = cx.state();
     state.view.all().any(|(_, s)| s.target.addr == engine)
 }
 
-fn begin(cx: &Context, engine: SocketAddr) {
+fn mark_linked(cx: &Context, engine: SocketAddr) {
     let mut state = cx.state();
     if let Some(i) = state.agent(engine) {
         state.agents[i].linked = true;
     }
-    state.homes.clear();
+    state.owners.clear();
     drop(state);
     quarantine::link_began(cx, engine);
 }
 
-/// Drops what the agent said and the questions that wait for it.
-fn forget(cx: &Context, engine: SocketAddr) {
+/// Drops the agent's reports and the requests that wait for its replies.
+fn mark_unlinked(cx: &Context, engine: SocketAddr) {
     let mut state = cx.state();
     if let Some(i) = state.agent(engine) {
         state.agents[i].linked = false;
-        state.agents[i].waiting.clear();
-        state.agents[i].reservations.clear();
-        state.agents[i].read.clear();
+        state.agents[i].pending_loads.clear();
+        state.agents[i].pending_slots.clear();
+        state.agents[i].prefill_times.clear();
     }
-    state.homes.clear();
-    state.allowances.link_ended(engine);
+    state.owners.clear();
+    state.quotas.link_ended(engine);
     state.quarantine.link_ended(engine);
     state.view.drop_report_at(engine);
 }
 
-/// How a link has ended.
+/// Why a link ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Ended {
-    /// The agent's side was closed or reset: its process has ended, and its VM runs.
+    /// The agent closed or reset the connection: its process has ended, and its VM runs.
     Closed,
-    /// Nothing came, or nothing could be written, for too long.
+    /// No message was received, or none could be written, in time.
     Silent,
 }
 
-async fn speak(
+async fn exchange(
     cx: &Arc<Context>,
     engine: SocketAddr,
     stream: TcpStream,
     rx: &mut mpsc::Receiver<ToAgent>,
 ) -> Ended {
-    // Without it a message waits for the acknowledgement of the one before; it still arrives.
+    // Only a latency option: without it a message waits for the acknowledgement of the previous one.
     let _ = stream.set_nodelay(true);
     let (r, w) = stream.into_split();
     tokio::select! {
@@ -237,7 +239,7 @@
 
 async fn receive(cx: &Arc<Context>, engine: SocketAddr, mut r: OwnedReadHalf) -> Ended {
     loop {
-        let msg = match timeout(SILENCE, frame::read_message(&mut r)).await {
+        let msg = match timeout(SILENCE_TIMEOUT, frame::read_message(&mut r)).await {
             Ok(Ok(msg)) => msg,
             Ok(Err(_)) => return Ended::Closed,
             Err(_) => return Ended::Silent,
@@ -252,36 +254,34 @@
                 cx.state().view.set_load_at(engine, *load, now);
             }
             ToEntry::LoadReply { seq, outcome } => {
-                let waiting = {
+                let waiter = {
                     let mut state = cx.state();
                     let Some(i) = state.agent(engine) else {
                         return Ended::Closed;
                     };
-                    let list = &mut state.agents[i].waiting;
+                    let list = &mut state.agents[i].pending_loads;
                     let found = list.iter().position(|(s, _)| *s == seq);
                     found.map(|i| list.swap_remove(i).1)
                 };
-                // The request that asked may have been given up.
-                waiting.map(|tx| tx.send(outcome));
+                // The request that waited may have been dropped.
+                waiter.map(|tx| tx.send(outcome));
             }
-            ToEntry::Prefill { seq, reply: answer } => {
+            ToEntry::Prefill { seq, reply } => {
                 let mut state = cx.state();
                 let Some(i) = state.agent(engine) else {
                     return Ended::Closed;
                 };
-                let list = &mut state.agents[i].reservations;
+                let list = &mut state.agents[i].pending_slots;
                 let found = list.iter().position(|(s, _)| *s == seq);
-                let asked = found.map(|i| list.swap_remove(i).1);
-                let until = now + answer.backlog;
+                let waiter = found.map(|i| list.swap_remove(i).1);
+                let until = now + reply.backlog;
                 state.view.set_prefill_until(engine, until);
                 drop(state);
-                // The request that asked may have been given up.
-                asked.map(|tx| tx.send(answer));
+                // The request that waited may have been dropped.
+                waiter.map(|tx| tx.send(reply));
             }
-            ToEntry::QuotaReply { seq, reply: answer } => {
-                allowance::answered(cx, engine, seq, answer)
-            }
-            ToEntry::StaleIncarnation(id) => receive_former(cx, engine, id),
+            ToEntry::QuotaReply { seq, reply } => quota::receive_reply(cx, engine, seq, reply),
+            ToEntry::StaleIncarnation(id) => receive_stale_incarnation(cx, engine, id),
             ToEntry::DeclarationRequest => declare(cx, engine),
             ToEntry::Quarantine(msg) => quarantine::receive(cx, engine, msg),
             ToEntry::Peers(peers) => {
@@ -295,7 +295,7 @@
     }
 }
 
-/// Tells an agent what its engine's service declares.
+/// Sends an agent the declaration of its engine's service.
 fn declare(cx: &Context, engine: SocketAddr) {
     let state = cx.state();
     let (Some(i), Some(catalogue)) = (state.agent(engine), &state.catalogue) else {
@@ -308,12 +308,12 @@
             version: catalogue.version,
             engine,
         };
-        // A full queue is a link that does not move; its agent asks another entry.
+        // With a full queue the link is stuck; the agent requests the declaration from another entry.
         let _ = state.agents[i].tx.try_send(msg);
     }
 }
 
-fn receive_former(cx: &Context, engine: SocketAddr, id: Box<str>) {
+fn receive_stale_incarnation(cx: &Context, engine: SocketAddr, id: Box<str>) {
     Line::new("target.former")
         .text("target", &id)
         .show("engine", engine)
@@ -321,17 +321,17 @@
     let mut state = cx.state();
     state.view.remove(&id);
     if let Some(i) = state.agent(engine) {
-        state.agents[i].former = Some(id);
+        state.agents[i].stale_incarnation = Some(id);
     }
 }
 
-/// What an agent has been told on this link.
+/// The state that an agent was sent last on this link.
 #[derive(Default)]
 struct Sent {
     known: Option<ReplicationState>,
-    /// The target's id and the start of its life.
-    life: Option<(Box<str>, Option<u64>)>,
-    spoke: Option<Instant>,
+    /// The id of the target and the start of its incarnation.
+    incarnation: Option<(Box<str>, Option<u64>)>,
+    hello_at: Option<Instant>,
 }
 
 async fn transmit(
@@ -355,8 +355,8 @@
                 }
             }
             () = sleep_until(next) => {
-                next = Instant::now() + tick(cx);
-                for msg in news(cx, engine, &mut sent) {
+                next = Instant::now() + send_interval(cx);
+                for msg in pending_messages(cx, engine, &mut sent) {
                     if !write(&mut w, &msg).await {
                         return;
                     }
@@ -366,19 +366,21 @@
     }
 }
 
-fn tick(cx: &Context) -> Duration {
+fn send_interval(cx: &Context) -> Duration {
     let links = u32::try_from(cx.state().agents.len()).unwrap_or(u32::MAX);
-    (TICK * links / TICK_LINKS).clamp(TICK, MAX_TICK)
+    (SEND_INTERVAL * links / SEND_INTERVAL_LINKS).clamp(SEND_INTERVAL, MAX_SEND_INTERVAL)
 }
 
-fn news(cx: &Context, engine: SocketAddr, sent: &mut Sent) -> Vec<ToAgent> {
+fn pending_messages(cx: &Context, engine: SocketAddr, sent: &mut Sent) -> Vec<ToAgent> {
     let mut out = Vec::new();
     let known = cx.replication_state();
-    let due = sent.spoke.is_none_or(|t| t.elapsed() >= HEARTBEAT);
-    // The list of targets changes several times a second; that can wait for the heartbeat.
-    let news = sent.known.as_ref().map(|k| k.catalogue) != Some(known.catalogue);
-    if news || due {
-        sent.spoke = Some(Instant::now());
+    let due = sent
+        .hello_at
+        .is_none_or(|t| t.elapsed() >= HEARTBEAT_INTERVAL);
+    // The revision of the targets changes several times a second and is sent with the heartbeat.
+    let is_new = sent.known.as_ref().map(|k| k.catalogue) != Some(known.catalogue);
+    if is_new || due {
+        sent.hello_at = Some(Instant::now());
         sent.known = Some(known.clone());
         out.push(ToAgent::Hello(known));
     }
@@ -386,21 +388,21 @@
     let target = state
         .view
         .at(engine)
-        .filter(|(_, s)| s.target.state == TargetState::Ready)
+        .filter(|(_, s)| s.target.state == State::Ready)
         .map(|(_, s)| (s.target.id.clone(), s.target.started));
     if let Some((id, started)) = target {
-        let life = Some((id.clone(), started));
-        if sent.life != life {
+        let incarnation = Some((id.clone(), started));
+        if sent.incarnation != incarnation {
             let revision = state.view.revision;
             out.push(ToAgent::Incarnation { id, revision });
-            sent.life = life;
+            sent.incarnation = incarnation;
         }
     }
     let used = state.take_used(engine, false);
     if !used.is_empty() {
         out.push(ToAgent::Used(used));
     }
-    let read = state.take_read(engine);
+    let read = state.take_prefill_times(engine);
     if !read.is_empty() {
         out.push(ToAgent::PrefillTimes(read));
     }
@@ -409,7 +411,7 @@
 
 async fn write(w: &mut OwnedWriteHalf, msg: &ToAgent) -> bool {
     matches!(
-        timeout(SILENCE, frame::write_message(w, msg)).await,
+        timeout(SILENCE_TIMEOUT, frame::write_message(w, msg)).await,
         Ok(Ok(()))
     )
 }
--- a/crates/stair-relay/src/peers.rs
+++ b/crates/stair-relay/src/peers.rs
@@ -1,7 +1,7 @@
-//! Asks other entries for what they know, and answers them.
+//! Fetches newer state from other entries, and serves theirs.
 //!
-//! The store may turn this entry away while it serves the others and the operators. Agents tell
-//! each entry how far the others' knowledge goes; one that lags fetches it from the one ahead.
+//! The store may reject this entry while it serves other entries and the operators. Agents report the
+//! versions of other entries, and a lagging entry fetches newer state from one of them.
 
 use std::{
     sync::Arc,
@@ -36,57 +36,57 @@
     replicate, //
 };
 
-/// Pause between looks at what the others know.
-const EVERY: Duration = Duration::from_millis(400);
+/// Interval of the checks for a peer with newer state.
+const CHECK_INTERVAL: Duration = Duration::from_millis(400);
 
-/// Time for which what an agent said of the others holds; agents say it again every second.
-const SAID_TIME: Duration = Duration::from_millis(3000);
+/// Time for which an agent's report on other entries is used; agents report every second.
+const PEERS_TTL: Duration = Duration::from_millis(3000);
 
-/// Time for a peer to answer.
-const ANSWER_TIME: Duration = Duration::from_millis(1500);
+/// Limit for a request and its reply.
+const REPLY_TIMEOUT: Duration = Duration::from_millis(1500);
 
-/// How far the knowledge of an entry goes that asks for what is newer.
+/// The versions of the state that the requesting entry has.
 #[derive(Debug, Serialize, Deserialize)]
-pub struct Ask {
+pub struct Versions {
     /// The version of its catalogue, 0 for none.
     pub catalogue: u64,
     /// The store's revision of its list of targets, 0 for none.
     pub targets: u64,
 }
 
-/// What one entry asks of another.
+/// A request to another entry.
 #[derive(Debug, Serialize, Deserialize)]
-pub enum Question {
-    /// All that is newer, once.
-    Once(Ask),
-    /// All that is newer, and what is new from then on.
-    Follow(Ask),
+pub enum PeerRequest {
+    /// Requests the newer state once.
+    Once(Versions),
+    /// Requests the newer state and all later changes.
+    Follow(Versions),
 }
 
-/// The answer; what is not newer is left out.
+/// The reply with newer state; state that is not newer is `None`.
 #[derive(Debug, Serialize, Deserialize)]
-struct Answer {
+struct PeerReply {
     catalogue: Option<Catalogue>,
     targets: Option<(Vec<Listed>, u64)>,
 }
 
-/// Asks a peer that is ahead, for as long as the process runs.
-pub async fn follow(cx: Arc<Context>) {
+/// Fetches newer state from a peer that has some, until the process ends.
+pub async fn fetch_newer(cx: Arc<Context>) {
     loop {
-        sleep(EVERY).await;
+        sleep(CHECK_INTERVAL).await;
         let own = cx.replication_state();
         let Some(peer) = newer_peer(&cx, &own) else {
             continue;
         };
-        match timeout(ANSWER_TIME, ask(&peer, &own)).await {
-            Ok(Ok(answer)) => take(&cx, &peer, answer),
+        match timeout(REPLY_TIMEOUT, request(&peer, &own)).await {
+            Ok(Ok(reply)) => apply(&cx, &peer, reply),
             Ok(Err(e)) => Line::failure("peer.failed")
                 .text("peer", &peer.entry)
                 .show("error", e)
                 .write(),
             Err(_) => Line::failure("peer.failed")
                 .text("peer", &peer.entry)
-                .text("error", "no answer in time")
+                .text("error", "no reply in time")
                 .write(),
         }
     }
@@ -95,84 +95,87 @@
 fn newer_peer(cx: &Context, own: &ReplicationState) -> Option<ReplicationState> {
     let state = cx.state();
     let (peers, at) = state.peers.as_ref()?;
-    if cx.now().saturating_sub(*at) > SAID_TIME {
+    if cx.now().saturating_sub(*at) > PEERS_TTL {
         return None;
     }
-    let better = |p: &&ReplicationState| p.catalogue > own.catalogue || p.targets > own.targets;
-    peers.newer.iter().find(better).cloned()
+    let is_newer = |p: &&ReplicationState| p.catalogue > own.catalogue || p.targets > own.targets;
+    peers.newer.iter().find(is_newer).cloned()
 }
 
-async fn ask(peer: &ReplicationState, own: &ReplicationState) -> Result<Answer, frame::Error> {
+async fn request(
+    peer: &ReplicationState,
+    own: &ReplicationState,
+) -> Result<PeerReply, frame::Error> {
     let mut stream = TcpStream::connect(peer.peer).await?;
-    let question = Question::Once(Ask {
+    let request = PeerRequest::Once(Versions {
         catalogue: own.catalogue,
         targets: own.targets,
     });
-    frame::write_message(&mut stream, &question).await?;
+    frame::write_message(&mut stream, &request).await?;
     frame::read_message(&mut stream).await
 }
 
-fn take(cx: &Context, peer: &ReplicationState, answer: Answer) {
+fn apply(cx: &Context, peer: &ReplicationState, reply: PeerReply) {
     Line::new("peer")
         .text("peer", &peer.entry)
         .num(
             "catalogue",
-            answer.catalogue.as_ref().map_or(0, |c| c.version),
+            reply.catalogue.as_ref().map_or(0, |c| c.version),
         )
-        .num("targets", answer.targets.as_ref().map_or(0, |t| t.1))
+        .num("targets", reply.targets.as_ref().map_or(0, |t| t.1))
         .write();
-    if let Some(catalogue) = answer.catalogue {
+    if let Some(catalogue) = reply.catalogue {
         replicate::apply_catalogue(cx, catalogue, &peer.entry);
     }
-    if let Some((targets, revision)) = answer.targets {
-        replicate::apply_listed(cx, targets, revision, &peer.entry);
+    if let Some((targets, revision)) = reply.targets {
+        replicate::apply_peer_list(cx, targets, revision, &peer.entry);
     }
 }
 
-/// Answers other entries, for as long as the process runs.
+/// Serves other entries until the process ends.
 pub async fn serve(cx: Arc<Context>, listener: TcpListener) {
     loop {
         match listener.accept().await {
             Ok((stream, _)) => {
-                tokio::spawn(answer(cx.clone(), stream));
+                tokio::spawn(handle(cx.clone(), stream));
             }
-            // Out of descriptors, for instance: accepting again at once would spin.
+            // Accepting again at once would spin, for instance when file descriptors have run out.
             Err(_) => sleep(Duration::from_millis(50)).await,
         }
     }
 }
 
-async fn answer(cx: Arc<Context>, mut stream: TcpStream) {
-    let question = timeout(ANSWER_TIME, frame::read_message(&mut stream)).await;
-    match question {
-        Ok(Ok(Question::Once(ask))) => {
-            // The peer has stopped waiting by then.
-            let _ = timeout(ANSWER_TIME, reply(&cx, &ask, stream)).await;
+async fn handle(cx: Arc<Context>, mut stream: TcpStream) {
+    let request = timeout(REPLY_TIMEOUT, frame::read_message(&mut stream)).await;
+    match request {
+        Ok(Ok(PeerRequest::Once(known))) => {
+            // The peer stops waiting after the same time.
+            let _ = timeout(REPLY_TIMEOUT, send_reply(&cx, &known, stream)).await;
         }
-        Ok(Ok(Question::Follow(ask))) => {
-            // The peer closes its side when it ends, and the next word to it fails.
+        Ok(Ok(PeerRequest::Follow(known))) => {
+            // The peer closes the connection when it ends, and the next write fails.
             let (_r, w) = stream.into_split();
-            follow::serve(&cx, &ask, w).await;
+            follow::serve(&cx, &known, w).await;
         }
-        // Whoever asked has gone.
+        // The peer has disconnected.
         Ok(Err(_)) | Err(_) => {}
     }
 }
 
-async fn reply(cx: &Context, ask: &Ask, mut stream: TcpStream) {
-    let answer = {
+async fn send_reply(cx: &Context, known: &Versions, mut stream: TcpStream) {
+    let reply = {
         let state = cx.state();
         let newer = state
             .catalogue
             .as_ref()
-            .filter(|c| c.version > ask.catalogue);
+            .filter(|c| c.version > known.catalogue);
         let revision = state.view.revision;
-        Answer {
+        PeerReply {
             catalogue: newer.map(|c| (**c).clone()),
-            targets: (revision > ask.targets).then(|| (state.view.list(cx.now()), revision)),
+            targets: (revision > known.targets).then(|| (state.view.list(cx.now()), revision)),
         }
     };
-    if let Err(e) = frame::write_message(&mut stream, &answer).await {
+    if let Err(e) = frame::write_message(&mut stream, &reply).await {
         Line::failure("peer.unanswered").show("error", e).write();
     }
 }
--- a/crates/stair-relay/src/prefetch.rs
+++ b/crates/stair-relay/src/prefetch.rs
@@ -1,4 +1,4 @@
-//! Has models loaded before they are asked for.
+//! Has models loaded before requests need them.
 
 use std::{
     sync::Arc,
@@ -20,26 +20,26 @@
     load, //
 };
 
-/// Pause between looks.
-const EVERY: Duration = Duration::from_millis(300);
+/// Interval of the checks for loads worth making.
+const CHECK_INTERVAL: Duration = Duration::from_millis(300);
 
-/// Time for which a prefetch is of use, longer than a load from a shared weight store.
-const PREFETCH_TIME: Duration = Duration::from_secs(14);
+/// Time for which a prefetch is of use; longer than a load from a shared weight store.
+const PREFETCH_TTL: Duration = Duration::from_secs(14);
 
-/// Loads requested in one look.
-const AT_ONCE: usize = 4;
+/// Limit of the loads requested in one check.
+const MAX_LOADS_PER_CHECK: usize = 4;
 
-/// Looks for loads worth making, for as long as the process runs.
+/// Requests loads that are worth making until the process ends.
 pub async fn keep(cx: Arc<Context>) {
     let mut asked: Vec<(RequestedLoad, PendingLoad)> = Vec::new();
     loop {
-        sleep(EVERY).await;
-        // An engine is asked for one load at a time.
-        asked.retain_mut(|(_, pending)| pending.is_open());
-        if !leads(&cx) {
+        sleep(CHECK_INTERVAL).await;
+        // At most one prefetch is pending for an engine.
+        asked.retain_mut(|(_, pending)| pending.is_pending());
+        if !is_leader(&cx) {
             continue;
         }
-        for _ in 0..AT_ONCE {
+        for _ in 0..MAX_LOADS_PER_CHECK {
             let list: Vec<RequestedLoad> = asked.iter().map(|(a, _)| a.clone()).collect();
             let Some(found) = next(&cx, &list) else {
                 break;
@@ -54,7 +54,7 @@
                 .num("cost_ms", place.cost_ms as i64)
                 .num("gain_1000", (gain.unwrap_or_default() * 1000.0) as i64)
                 .write();
-            let Some(pending) = load::ask(&cx, &model, &place, PREFETCH_TIME, true) else {
+            let Some(pending) = load::request(&cx, &model, &place, PREFETCH_TTL, true) else {
                 break;
             };
             asked.push((
@@ -68,8 +68,8 @@
     }
 }
 
-/// One entry makes these loads: the one with the least name among those that agents hear.
-fn leads(cx: &Context) -> bool {
+/// Only one entry requests prefetches: the one with the least name among the entries linked to the agents.
+fn is_leader(cx: &Context) -> bool {
     let state = cx.state();
     let peers = state.peers.as_ref();
     peers.is_none_or(|(p, _)| p.least_name >= cx.settings.name)
--- a/crates/stair-relay/src/process.rs
+++ b/crates/stair-relay/src/process.rs
@@ -29,14 +29,14 @@
     serve, //
 };
 
-/// Time before the kill by which the process has ended on its own.
-const END_BEFORE_KILL: Duration = Duration::from_millis(400);
+/// The process ends on its own this long before it would be killed.
+const KILL_MARGIN: Duration = Duration::from_millis(400);
 
-/// Time for which a stopping entry still accepts connections: the balancer notices after two misses.
-const LISTEN_ON: Duration = Duration::from_millis(3500);
+/// Time for which a stopping entry accepts connections: the balancer removes it after two failed probes.
+const LISTEN_AFTER_STOP: Duration = Duration::from_millis(3500);
 
-/// Pause between looks whether all requests have been answered.
-const LOOK_EVERY: Duration = Duration::from_millis(50);
+/// Interval of the checks whether all requests have got their response.
+const CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
 /// An entry whose addresses are bound.
 pub struct Entry {
@@ -72,7 +72,7 @@
         &self.settings
     }
 
-    /// Runs until `stop` turns true and the requests that came before are answered.
+    /// Runs until `stop` turns true and the requests received before are finished.
     pub async fn run(
         self,
         reloads: watch::Receiver<GatewaySettings>,
@@ -90,17 +90,17 @@
         tasks.spawn(replicate::follow_targets(cx.clone()));
         tasks.spawn(follow_settings(cx.clone(), reloads));
         tasks.spawn(links::keep(cx.clone()));
-        tasks.spawn(links::look_for_quiet(cx.clone()));
+        tasks.spawn(links::detect_unresponsive(cx.clone()));
         tasks.spawn(peers::serve(cx.clone(), self.inner));
-        tasks.spawn(peers::follow(cx.clone()));
+        tasks.spawn(peers::fetch_newer(cx.clone()));
         tasks.spawn(follow::keep(cx.clone()));
         tasks.spawn(prefetch::keep(cx.clone()));
         tasks.spawn(serve::readiness(cx.clone(), self.ready, never.clone()));
         tasks.spawn(serve::metrics(cx.clone(), self.metrics, never));
         tasks.spawn(serve::clients(cx.clone(), self.clients));
-        // The sender lives as long as the process.
+        // The sender lives until the process ends.
         let _ = stop.wait_for(|s| *s).await;
-        let last = Instant::now() + stop_within.saturating_sub(END_BEFORE_KILL);
+        let last = Instant::now() + stop_within.saturating_sub(KILL_MARGIN);
         cx.drain(last);
         Line::new("entry.stopping").write();
         finish(&cx, last).await;
@@ -122,8 +122,8 @@
     Ok(())
 }
 
-/// Takes changed settings over while the process runs; addresses that are listened on stay until
-/// its next start.
+/// Applies changed settings while the process runs. Changes of the entry's name and of the addresses that it
+/// listens on take effect at the next start.
 async fn follow_settings(cx: Arc<Context>, mut reloads: watch::Receiver<GatewaySettings>) {
     while reloads.changed().await.is_ok() {
         let new = reloads.borrow_and_update().clone();
@@ -146,14 +146,14 @@
     Ok(listener)
 }
 
-/// Waits until nothing is in flight, at most until `last`, shortly before the kill.
+/// Waits until no request is being served, at most until `last`.
 async fn finish(cx: &Context, last: Instant) {
     let begun = Instant::now();
     while Instant::now() < last {
-        let quiet = cx.serving() == 0;
-        if quiet && begun.elapsed() >= LISTEN_ON {
+        let idle = cx.serving() == 0;
+        if idle && begun.elapsed() >= LISTEN_AFTER_STOP {
             return;
         }
-        sleep(LOOK_EVERY).await;
+        sleep(CHECK_INTERVAL).await;
     }
 }
--- a/crates/stair-relay/src/quarantine.rs
+++ b/crates/stair-relay/src/quarantine.rs
@@ -1,10 +1,11 @@
-//! Keeps requests that end the targets that run them away from targets.
+//! Withholds requests that end the targets that run them.
 //!
-//! A few agents keep the ledgers, chosen in an order on which all entries agree; each tells all entries what follows
-//! from the reports. While no agent is linked, an entry keeps a ledger of its own. What decides is in
-//! [`quarantine`](stair_fleet::quarantine).
+//! A few agents keep ledgers of crashes. All entries choose the same agents, and each agent reports its
+//! verdicts to all entries. While no agent is linked, an entry keeps a ledger of its own.
+//! [`quarantine`](stair_fleet::quarantine) defines the decisions.
 //!
-//! Invariants: a request that is quarantined here is not sent to a target; what is said of it is true.
+//! Invariants: a request that is quarantined here is not sent to a target, and the verdict in its refusal is
+//! true.
 
 use std::{
     net::SocketAddr,
@@ -51,49 +52,49 @@
     },
 };
 
-/// Agents that keep a ledger: two may be lost at once.
+/// Number of agents that keep a ledger: two may be lost at once.
 const LEDGERS: usize = 3;
 
-/// The key of their order.
+/// The key by which rendezvous hashing orders these agents.
 const LEDGER_KEY: &str = "quarantine";
 
-/// Time for an agent to answer: a round trip and the longest pause of a busy VM.
-const ANSWER_TIME: Duration = Duration::from_millis(100);
+/// Limit for an agent's reply: a round trip and the longest pause of a busy VM.
+const REPLY_TIMEOUT: Duration = Duration::from_millis(100);
 
-/// Time for which an agent that has not answered is not asked.
-const SKIP_TIME: Duration = Duration::from_millis(1000);
+/// Time for which an agent that has not replied is not used.
+const SKIP_DURATION: Duration = Duration::from_millis(1000);
 
-/// What an entry knows of requests that end targets.
+/// The state that an entry keeps about requests that end targets.
 #[derive(Default)]
 pub(crate) struct Quarantine {
     pub(crate) watchlist: Watchlist,
-    /// Kept while no agent is linked.
+    /// Used while no agent is linked.
     own: Ledger,
-    /// Questions that wait for their answer.
-    open: Vec<Open>,
+    /// Requests for a trial that wait for a reply.
+    pending: Vec<PendingRequest>,
 }
 
-struct Open {
+struct PendingRequest {
     seq: u64,
     engine: SocketAddr,
     tx: oneshot::Sender<bool>,
 }
 
-/// The run of a suspect, until this is dropped.
+/// The run of a suspect; the trial ends when this is dropped.
 pub(crate) struct Trial {
     cx: Arc<Context>,
     fingerprint: Fingerprint,
-    /// The engine whose agent has granted it; `None` for this entry itself.
+    /// The engine whose agent granted the trial; `None` for this entry's own ledger.
     engine: Option<SocketAddr>,
 }
 
 /// Whether a request may be sent to a target now.
 pub(crate) enum Gate {
-    /// It may; a suspect's run counts until the trial is dropped.
+    /// The request may be sent. For a suspect, the trial counts until it is dropped.
     Open(Option<Trial>),
-    /// Another run has to end before.
+    /// Another run of it has to end before.
     Busy,
-    /// It is not run for so long.
+    /// The request is quarantined for this time.
     Closed(Duration),
 }
 
@@ -102,13 +103,13 @@
         let now = self.cx.now();
         let mut state = self.cx.state();
         match self.engine {
-            Some(engine) => state.tell_ledger(engine, ToLedger::TrialEnded(self.fingerprint)),
+            Some(engine) => state.send_to_ledger(engine, ToLedger::TrialEnded(self.fingerprint)),
             None => state.quarantine.own.end_trial(self.fingerprint, now),
         }
     }
 }
 
-/// What is known of a request; `None` for an ordinary one.
+/// The standing of a request; `None` for an ordinary one.
 pub(crate) fn standing(cx: &Context, job: &Job) -> Option<Standing> {
     if cx.state().quarantine.watchlist.is_empty() {
         return None;
@@ -117,14 +118,14 @@
     if !cx.state().quarantine.watchlist.has_outline(outline) {
         return None;
     }
-    // Taken without the lock, as its time grows with the body.
+    // Computed without the lock, as its time grows with the body.
     let fingerprint = job.fingerprint();
     let now = cx.now();
     cx.state().quarantine.watchlist.standing(&fingerprint, now)
 }
 
-/// Time for which a request is not run.
-pub(crate) fn held(cx: &Context, job: &Job) -> Option<Duration> {
+/// The remaining time of a request's quarantine.
+pub(crate) fn quarantined_for(cx: &Context, job: &Job) -> Option<Duration> {
     match standing(cx, job)? {
         Standing::Quarantined(left) => Some(left),
         Standing::Suspect | Standing::Cleared => None,
@@ -135,9 +136,9 @@
 ///
 /// # Errors
 ///
-/// The refusal, with the time after which the request is run again.
+/// The refusal, with the remaining time as Retry-After.
 pub(crate) fn admit(cx: &Context, job: &Job) -> Result<(), Refusal> {
-    let Some(left) = held(cx, job) else {
+    let Some(left) = quarantined_for(cx, job) else {
         return Ok(());
     };
     Line::failure("quarantine.refused")
@@ -154,13 +155,13 @@
     match standing(cx, job) {
         None | Some(Standing::Cleared) => Gate::Open(None),
         Some(Standing::Quarantined(left)) => Gate::Closed(left),
-        Some(Standing::Suspect) => trial(cx, job, target).await,
+        Some(Standing::Suspect) => request_trial(cx, job, target).await,
     }
 }
 
-async fn trial(cx: &Arc<Context>, job: &Job, target: &str) -> Gate {
+async fn request_trial(cx: &Arc<Context>, job: &Job, target: &str) -> Gate {
     let fingerprint = job.fingerprint();
-    let (granted, engine) = match ask(cx, fingerprint, target).await {
+    let (granted, engine) = match query_ledger(cx, fingerprint, target).await {
         Some((granted, engine)) => (granted, Some(engine)),
         None => {
             let now = cx.now();
@@ -184,8 +185,8 @@
     }
 }
 
-/// Asks the first agent that keeps a ledger; `None` when it does not answer.
-async fn ask(
+/// Requests a trial from the first agent that keeps a ledger; `None` when it does not reply.
+async fn query_ledger(
     cx: &Arc<Context>,
     fingerprint: Fingerprint,
     target: &str,
@@ -196,25 +197,28 @@
         let engine = state.ledgers(now).into_iter().next()?;
         let seq = state.next_seq();
         let (tx, rx) = oneshot::channel();
-        state.quarantine.open.push(Open { seq, engine, tx });
+        state
+            .quarantine
+            .pending
+            .push(PendingRequest { seq, engine, tx });
         let msg = ToLedger::Trial {
             seq,
             fingerprint,
             target: target.into(),
         };
-        state.tell_ledger(engine, msg);
+        state.send_to_ledger(engine, msg);
         (engine, rx)
     };
-    if let Ok(Ok(granted)) = timeout(ANSWER_TIME, rx).await {
+    if let Ok(Ok(granted)) = timeout(REPLY_TIMEOUT, rx).await {
         return Some((granted, engine));
     }
     Line::failure("quarantine.unanswered")
         .show("engine", engine)
         .write();
-    let until = cx.now() + SKIP_TIME;
+    let until = cx.now() + SKIP_DURATION;
     let mut state = cx.state();
-    state.quarantine.open.retain(|o| !o.tx.is_closed());
-    state.skip_home(engine, until);
+    state.quarantine.pending.retain(|o| !o.tx.is_closed());
+    state.skip_agent(engine, until);
     None
 }
 
@@ -224,7 +228,7 @@
     let mut state = cx.state();
     let engines = state.ledgers(now);
     for engine in &engines {
-        state.tell_ledger(*engine, ToLedger::Crashed(crash.clone()));
+        state.send_to_ledger(*engine, ToLedger::Crashed(crash.clone()));
     }
     if !engines.is_empty() {
         return;
@@ -240,7 +244,7 @@
     });
 }
 
-/// Takes in that a target lives that has run a request.
+/// Records that a target completed the request and is still running.
 pub(crate) fn survived(cx: &Context, job: &Job) {
     if standing(cx, job).is_none() {
         return;
@@ -255,31 +259,33 @@
     state.quarantine.watchlist.remove(&fingerprint);
     state.quarantine.own.survived(fingerprint);
     for engine in state.ledgers(now) {
-        state.tell_ledger(engine, ToLedger::Survived(fingerprint));
+        state.send_to_ledger(engine, ToLedger::Survived(fingerprint));
     }
 }
 
-/// Takes in what an agent says.
+/// Handles a message of an agent that keeps a ledger.
 pub(crate) fn receive(cx: &Context, engine: SocketAddr, msg: ToWatchlist) {
     match msg {
         ToWatchlist::Known(list) => apply(cx, &list),
         ToWatchlist::Trial { seq, granted } => {
             let mut state = cx.state();
-            let open = &mut state.quarantine.open;
-            let found = open.iter().position(|o| o.engine == engine && o.seq == seq);
-            // The request that asked may have been given up.
-            found.map(|i| open.swap_remove(i).tx.send(granted));
+            let pending = &mut state.quarantine.pending;
+            let found = pending
+                .iter()
+                .position(|o| o.engine == engine && o.seq == seq);
+            // The request that waited may have been dropped.
+            found.map(|i| pending.swap_remove(i).tx.send(granted));
         }
     }
 }
 
-/// Tells an agent whose link has begun what is known here, if it keeps a ledger.
+/// Sends the known standings to an agent whose link has begun, if it keeps a ledger.
 pub(crate) fn link_began(cx: &Context, engine: SocketAddr) {
     let now = cx.now();
     let state = cx.state();
     let known = state.quarantine.watchlist.notices(now);
     if !known.is_empty() && state.ledgers(now).contains(&engine) {
-        state.tell_ledger(engine, ToLedger::Known(known));
+        state.send_to_ledger(engine, ToLedger::Known(known));
     }
 }
 
@@ -297,25 +303,25 @@
 }
 
 impl Quarantine {
-    /// Drops the questions to an agent whose link has ended.
+    /// Drops the requests to an agent whose link has ended.
     pub(crate) fn link_ended(&mut self, engine: SocketAddr) {
-        self.open.retain(|o| o.engine != engine);
+        self.pending.retain(|o| o.engine != engine);
     }
 }
 
 impl State {
-    /// The engines whose agents keep the ledgers, best first.
+    /// The engines whose agents keep the ledgers, in their common order.
     fn ledgers(&self, now: Duration) -> Vec<SocketAddr> {
-        let answers = |a: &&AgentLink| a.linked && a.skipped_until <= now;
-        let linked: Vec<_> = self.agents.iter().filter(answers).collect();
+        let is_available = |a: &&AgentLink| a.linked && a.skipped_until <= now;
+        let linked: Vec<_> = self.agents.iter().filter(is_available).collect();
         let ranked = rendezvous::ranked(LEDGER_KEY, linked.iter().map(|a| &*a.name));
         let first = ranked.into_iter().take(LEDGERS);
         first.map(|i| linked[i].engine).collect()
     }
 
-    fn tell_ledger(&self, engine: SocketAddr, msg: ToLedger) {
+    fn send_to_ledger(&self, engine: SocketAddr, msg: ToLedger) {
         if let Some(i) = self.agent(engine) {
-            // An agent that does not read is one of several that are told.
+            // A full queue may drop the message; other agents get it too.
             let _ = self.agents[i].tx.try_send(ToAgent::Quarantine(msg));
         }
     }
--- a/crates/stair-relay/src/relay.rs
+++ b/crates/stair-relay/src/relay.rs
@@ -1,8 +1,8 @@
-//! Brings a request to a target and its answer back.
+//! Relays a request to a target and the target's response to the client.
 //!
-//! Invariants: a request that must not run twice is sent on only after a target's word that it has
-//! not run; an answer that promises so is sent only when all targets it was sent to gave that word;
-//! every further target draws on the shared retry budget.
+//! Invariants: a request that must not run twice is sent to another target only after the first one stated
+//! that it has not run it. A response that promises that the request has not run is sent only when every
+//! target that received the request stated so. Each further target draws on the shared retry budget.
 
 use std::{
     sync::Arc,
@@ -34,43 +34,44 @@
         admit,
         strip_hop, //
     },
+    assign::{
+        NotAssigned,
+        assign, //
+        selection_deadline,
+    },
     attempt::{
         self,
-        Live, //
+        LiveResponse, //
     },
     context::Context,
     crash,
     failures::Failures,
     job::Job,
-    pick::Picked,
-    place::{
-        NotPlaced,
-        pick_until,
-        place, //
-    },
     quarantine,
     refuse::{
         Reason,
         Refusal, //
     },
+    select::Selected,
     stream,
 };
 
 /// Retry-After when all targets were full.
-pub(crate) const REFUSED_COME_BACK: Duration = Duration::from_millis(500);
+pub(crate) const REFUSED_RETRY_AFTER: Duration = Duration::from_millis(500);
 
-/// Targets that one request is sent to at most while each says that it has not run it.
+/// Upper bound on the targets that one request is sent to, as long as each of them states that it has not run
+/// it.
 const MAX_SENDS: usize = 4;
 
-/// A repeatable request is tried at another target after so many objectives: most targets that take longer have
-/// hung.
-const HUNG_AFTER: u32 = 3;
+/// Objectives after which a repeatable request is tried at another target; a target that takes longer usually
+/// hangs.
+const HUNG_OBJECTIVES: u32 = 3;
 
-/// Serves one request.
+/// Serves one request of a client; every outcome is a response.
 pub async fn serve(cx: Arc<Context>, req: Request<Incoming>) -> Response<Body> {
     let received = Instant::now();
     let id = Meta::decode(req.headers()).id;
-    let mut waiting = Waiting::begin(&cx, &id, received);
+    let mut pending = PendingResponse::begin(&cx, &id, received);
     let result = match admit(&cx, req, received).await {
         Ok(job) => run(&cx, Arc::new(job)).await,
         Err(refusal) => Err(refusal),
@@ -84,14 +85,14 @@
                 .text("verdict", refusal.verdict.as_str())
                 .num("status", refusal.status().as_u16())
                 .ms("took_ms", received.elapsed())
-                .ms("come_back_ms", refusal.come_back.unwrap_or_default())
+                .ms("come_back_ms", refusal.retry_after.unwrap_or_default())
                 .write();
             let labels = [("reason", refusal.reason.as_str())];
             cx.page.count("refusals_total", &labels, 1);
             refusal.response()
         }
     };
-    waiting.answered = true;
+    pending.responded = true;
     let status = resp.status();
     let labels = [("status", status.as_str())];
     cx.page.count("answers_total", &labels, 1);
@@ -99,29 +100,29 @@
     resp
 }
 
-/// A request without an answer yet. The work on it is dropped when its client leaves, so a line from
-/// here is all that tells an engineer why the request's story ends.
-struct Waiting {
+/// Logs `client.left` when it is dropped before the response. The work on a request is dropped when its
+/// client disconnects, and this line is the only trace of that.
+struct PendingResponse {
     cx: Arc<Context>,
     id: Box<str>,
     received: Instant,
-    answered: bool,
+    responded: bool,
 }
 
-impl Waiting {
+impl PendingResponse {
     fn begin(cx: &Arc<Context>, id: &str, received: Instant) -> Self {
         Self {
             cx: cx.clone(),
             id: id.into(),
             received,
-            answered: false,
+            responded: false,
         }
     }
 }
 
-impl Drop for Waiting {
+impl Drop for PendingResponse {
     fn drop(&mut self) {
-        if !self.answered {
+        if !self.responded {
             Line::failure("client.left")
                 .text("id", &self.id)
                 .ms("took_ms", self.received.elapsed())
@@ -131,24 +132,24 @@
     }
 }
 
-/// How the attempts of one request went so far.
-pub struct Tried {
-    /// Targets that are not to be tried again.
+/// The attempts made so far for one request.
+pub struct Attempts {
+    /// Targets that must not be tried again.
     pub keys: Vec<TargetKey>,
-    /// Attempts that may have run.
+    /// Attempts that may have run the request.
     pub ran: u8,
-    /// Requests sent.
+    /// Attempts that were sent, whether or not they ran.
     pub sent: usize,
-    /// Whether the next retry has been taken from the budget.
+    /// Whether the next retry has already been taken from the budget.
     pub paid: bool,
-    /// A target's own failure that was to be bettered by a retry.
+    /// The failure response of a target, forwarded to the client if the retry fails too.
     failure: Option<Response<Body>>,
-    /// Failures by targets' own word.
+    /// Failures that targets reported themselves.
     failures: Failures,
 }
 
-impl Tried {
-    /// Makes that of a request that has not been sent.
+impl Attempts {
+    /// Returns the record of a request that has not been sent.
     pub fn new(cx: &Arc<Context>, job: &Job) -> Self {
         Self {
             keys: Vec::new(),
@@ -160,8 +161,8 @@
         }
     }
 
-    /// Whether the attempt that is under way may be given up for another target.
-    pub fn may_be_left(&self, job: &Job) -> bool {
+    /// Whether the attempt in progress may be abandoned for another target.
+    pub fn may_abandon(&self, job: &Job) -> bool {
         job.route.repeatable() && self.ran + 1 < job.route.attempts
     }
 
@@ -172,38 +173,38 @@
 }
 
 async fn run(cx: &Arc<Context>, job: Arc<Job>) -> Result<Response<Body>, Refusal> {
-    let mut tried = Tried::new(cx, &job);
-    let result = attempts(cx, job, &mut tried).await;
-    // What a target has answered is passed on rather than replaced by a failure of the entry's own,
-    // which would tell the client less.
-    match (result, tried.failure.take()) {
+    let mut attempts = Attempts::new(cx, &job);
+    let result = run_attempts(cx, job, &mut attempts).await;
+    // The failure response of a target tells the client more than a failure of the entry.
+    match (result, attempts.failure.take()) {
         (Err(_), Some(failure)) => Ok(failure),
         (result, _) => result,
     }
 }
 
-async fn attempts(
+async fn run_attempts(
     cx: &Arc<Context>,
     job: Arc<Job>,
-    tried: &mut Tried,
+    attempts: &mut Attempts,
 ) -> Result<Response<Body>, Refusal> {
     loop {
-        let (picked, outcome) = match once(cx, &job, tried, None).await {
+        let (selected, outcome) = match attempt_once(cx, &job, attempts, None).await {
             Ok(both) => both,
-            Err(e) => return Err(give_up(tried, e.reason, e.come_back)),
+            Err(e) => return Err(refusal(attempts, e.reason, e.retry_after)),
         };
         let retry = match outcome {
-            attempt::Outcome::Head(live) => match answer(cx, &job, picked, live, tried).await {
-                Answered::Done(resp) => return Ok(resp),
-                Answered::Failed(reason) => {
-                    if !tried.may_run_again(&job) {
+            attempt::Outcome::Head(live) => match forward(cx, &job, selected, live, attempts).await
+            {
+                Forwarded::Done(resp) => return Ok(resp),
+                Forwarded::Failed(reason) => {
+                    if !attempts.may_run_again(&job) {
                         return Err(Refusal::may_have_run(reason));
                     }
                     reason
                 }
             },
             attempt::Outcome::NotSent(_) | attempt::Outcome::NotRun { .. } => Reason::Refused,
-            attempt::Outcome::Late | attempt::Outcome::Lost(_) if !tried.may_run_again(&job) => {
+            attempt::Outcome::Late | attempt::Outcome::Lost(_) if !attempts.may_run_again(&job) => {
                 let late = matches!(outcome, attempt::Outcome::Late);
                 let reason = if late { Reason::Late } else { Reason::Lost };
                 return Err(Refusal::may_have_run(reason));
@@ -211,19 +212,19 @@
             attempt::Outcome::Late => Reason::Late,
             attempt::Outcome::Lost(_) => Reason::Lost,
         };
-        if tried.ran > 0 && Instant::now() >= pick_until(&job, None) {
-            return Err(give_up(tried, retry, REFUSED_COME_BACK));
+        if attempts.ran > 0 && Instant::now() >= selection_deadline(&job, None) {
+            return Err(refusal(attempts, retry, REFUSED_RETRY_AFTER));
         }
-        let paid = std::mem::take(&mut tried.paid) || tried.sent == 0;
-        if tried.sent >= MAX_SENDS || !(paid || cx.may_retry(&job.service)) {
-            return Err(give_up(tried, retry, REFUSED_COME_BACK));
+        let paid = std::mem::take(&mut attempts.paid) || attempts.sent == 0;
+        if attempts.sent >= MAX_SENDS || !(paid || cx.may_retry(&job.service)) {
+            return Err(refusal(attempts, retry, REFUSED_RETRY_AFTER));
         }
     }
 }
 
-fn give_up(tried: &Tried, reason: Reason, come_back: Duration) -> Refusal {
-    if tried.ran == 0 {
-        return Refusal::not_run(reason, Some(come_back));
+fn refusal(attempts: &Attempts, reason: Reason, retry_after: Duration) -> Refusal {
+    if attempts.ran == 0 {
+        return Refusal::not_run(reason, Some(retry_after));
     }
     let reason = match reason {
         Reason::Late => Reason::Late,
@@ -232,55 +233,65 @@
     Refusal::may_have_run(reason)
 }
 
-/// Picks a target and sends the request there once.
+/// Selects a target and sends the request there once.
 ///
 /// # Errors
 ///
-/// [`NotPlaced`] if no target can run it in time, or none may.
-pub async fn once(
+/// [`NotAssigned`] if no target can run it in time, or the request must not run now.
+pub async fn attempt_once(
     cx: &Arc<Context>,
     job: &Job,
-    tried: &mut Tried,
+    attempts: &mut Attempts,
     after_event: Option<u64>,
-) -> Result<(Picked, attempt::Outcome), NotPlaced> {
-    let picked = place(cx, job, &tried.keys, after_event).await?;
-    let outcome = send(cx, job, tried, &picked, after_event).await;
-    Ok((picked, outcome))
+) -> Result<(Selected, attempt::Outcome), NotAssigned> {
+    let selected = assign(cx, job, &attempts.keys, after_event).await?;
+    let outcome = send(cx, job, attempts, &selected, after_event).await;
+    Ok((selected, outcome))
 }
 
-/// Sends the request to a target once.
+/// Sends the request to the selected target once and records the outcome.
 pub async fn send(
     cx: &Arc<Context>,
     job: &Job,
-    tried: &mut Tried,
-    picked: &Picked,
+    attempts: &mut Attempts,
+    selected: &Selected,
     after_event: Option<u64>,
 ) -> attempt::Outcome {
     let begun = Instant::now();
-    job.note_sent(true);
-    let req = job.request(&picked.id, after_event);
-    let until = attempt_until(job, tried);
-    let sent = attempt::send(picked.addr, req, &job.meta.id, until);
-    let (key, leaves) = (picked.flight.key(), pick_until(job, after_event));
-    let gone = given_up(cx, &tried.keys, key, tried.may_be_left(job), leaves);
-    let unanswered = crash::Unanswered::new(cx, job, key);
+    job.set_may_have_run(true);
+    let req = job.request(&selected.id, after_event);
+    let until = attempt_deadline(job, attempts);
+    let sent = attempt::send(selected.addr, req, &job.meta.id, until);
+    let (key, client_leaves) = (
+        selected.in_flight.key(),
+        selection_deadline(job, after_event),
+    );
+    let abandoned = until_abandoned(
+        cx,
+        &attempts.keys,
+        key,
+        attempts.may_abandon(job),
+        client_leaves,
+    );
+    let unanswered = crash::UnansweredRun::new(cx, job, key);
     let outcome = tokio::select! {
         outcome = sent => outcome,
-        () = gone => attempt::Outcome::Late,
+        () = abandoned => attempt::Outcome::Late,
     };
-    unanswered.ended();
-    note(cx, job, tried, picked, &outcome, begun);
-    job.note_sent(tried.ran > 0);
+    unanswered.finish();
+    record_outcome(cx, job, attempts, selected, &outcome, begun);
+    job.set_may_have_run(attempts.ran > 0);
     outcome
 }
 
-/// Waits until an attempt is given up for a VM that stands still.
+/// Waits until an attempt is abandoned because its VM is unresponsive.
 ///
-/// What may run elsewhere is given up at once. The rest waits until right before its client leaves, and is then
-/// answered that it may have run: a VM that stands still cannot take the client's close.
+/// With `elsewhere` the attempt is abandoned at once, as the request may run at another target. Otherwise it
+/// is abandoned right before the client disconnects at `client_leaves`, and the response states that the
+/// request may have run. An unresponsive VM would not notice that the client closed its connection.
 ///
-/// `before` were tried before the target `key`; a run at one of them may go on as well.
-pub async fn given_up(
+/// The targets `before` were tried before the target `key`; the request may still run at one of them.
+pub async fn until_abandoned(
     cx: &Context,
     before: &[TargetKey],
     key: TargetKey,
@@ -291,33 +302,33 @@
     let all = [before, &own].concat();
     let noted = async {
         sleep_until(client_leaves).await;
-        cx.fall_quiet(&all).await;
+        cx.until_unresponsive(&all).await;
     };
     tokio::select! {
-        () = cx.fall_quiet(&own), if elsewhere => {}
+        () = cx.until_unresponsive(&own), if elsewhere => {}
         () = noted => {}
     }
 }
 
-/// When an attempt is given up for another: a repeatable request is not left to a target that hangs.
-fn attempt_until(job: &Job, tried: &Tried) -> Instant {
-    if !tried.may_be_left(job) || job.route.objective.is_zero() {
+/// When an attempt is abandoned for another one. A repeatable request does not wait for a target that hangs.
+fn attempt_deadline(job: &Job, attempts: &Attempts) -> Instant {
+    if !attempts.may_abandon(job) || job.route.objective.is_zero() {
         return job.deadline;
     }
-    (Instant::now() + job.route.objective * HUNG_AFTER).min(job.deadline)
+    (Instant::now() + job.route.objective * HUNG_OBJECTIVES).min(job.deadline)
 }
 
-/// Takes the outcome of an attempt into what is known of the target.
-fn note(
+/// Records the outcome of an attempt in the state of the target.
+fn record_outcome(
     cx: &Arc<Context>,
     job: &Job,
-    tried: &mut Tried,
-    picked: &Picked,
+    attempts: &mut Attempts,
+    selected: &Selected,
     outcome: &attempt::Outcome,
     begun: Instant,
 ) {
     use attempt::Outcome;
-    let key = picked.flight.key();
+    let key = selected.in_flight.key();
     let text = match outcome {
         Outcome::NotSent(e) => format!("not sent: {e}"),
         Outcome::NotRun { status, .. } => format!("not run: {status}"),
@@ -326,66 +337,66 @@
         Outcome::Head(live) => format!("head: {}", live.head.status.as_u16()),
     };
     if !matches!(outcome, Outcome::NotSent(_)) {
-        tried.sent += 1;
+        attempts.sent += 1;
     }
     if !matches!(outcome, Outcome::Head(_)) {
-        tried.keys.push(key);
+        attempts.keys.push(key);
     }
     let now = cx.now();
     let mut state = cx.state();
-    let seen = state.view.get_mut(key);
-    let mut former = None;
+    let target_state = state.view.get_mut(key);
+    let mut stale_engine = None;
     match outcome {
         Outcome::NotSent(_) => {
-            seen.suspect_until = now + SUSPECT_DURATION;
+            target_state.suspect_until = now + SUSPECT_DURATION;
         }
         Outcome::NotRun {
             misdirected: true,
             instance,
             ..
         } => {
-            let other = instance.as_ref().is_some_and(|i| *i != picked.id);
+            let other = instance.as_ref().is_some_and(|i| *i != selected.id);
             match &job.meta.model {
-                // The target that was meant is gone, whatever the list still says.
+                // The target has been replaced at its address, although the list still contains it.
                 _ if other => {
-                    seen.mark_removed();
-                    former = Some(seen.target.addr);
+                    target_state.mark_removed();
+                    stale_engine = Some(target_state.target.addr);
                 }
-                Some(model) => seen.mark_not_loaded(model),
-                None => seen.record_attempt(false),
+                Some(model) => target_state.mark_not_loaded(model),
+                None => target_state.record_attempt(false),
             }
         }
-        Outcome::NotRun { .. } => seen.record_attempt(false),
+        Outcome::NotRun { .. } => target_state.record_attempt(false),
         Outcome::Lost(_) | Outcome::Late => {
-            tried.ran += 1;
-            seen.record_attempt(false);
+            attempts.ran += 1;
+            target_state.record_attempt(false);
         }
         Outcome::Head(live) => {
-            tried.ran += 1;
+            attempts.ran += 1;
             if live.head.status.is_server_error() {
-                tried.failures.add(key);
+                attempts.failures.add(key);
             } else {
-                seen.record_attempt(true);
+                target_state.record_attempt(true);
             }
         }
     }
     drop(state);
     if matches!(outcome, Outcome::Lost(_) | Outcome::Late) {
-        crash::note_cut(cx, job, key, None);
+        crash::record_interrupted(cx, job, key, None);
     }
     if matches!(outcome, Outcome::Head(live) if !live.head.status.is_server_error()) {
-        tried.failures.served();
+        attempts.failures.served();
     }
-    if let Some(engine) = former {
-        cx.report_former(engine, picked.id.clone());
+    if let Some(engine) = stale_engine {
+        cx.report_stale_incarnation(engine, selected.id.clone());
     }
     let line = match outcome {
         Outcome::Head(live) if live.head.status.is_success() => Line::new("attempt"),
         _ => Line::failure("attempt"),
     };
     line.text("id", &job.meta.id)
-        .text("target", &picked.id)
-        .num("sent", tried.sent as i64)
+        .text("target", &selected.id)
+        .num("sent", attempts.sent as i64)
         .text("outcome", &text)
         .ms("took_ms", begun.elapsed())
         .write();
@@ -393,47 +404,47 @@
     cx.page.count("attempts_total", &[("outcome", kind)], 1);
 }
 
-enum Answered {
+enum Forwarded {
     Done(Response<Body>),
     Failed(Reason),
 }
 
-/// Passes a target's answer on.
-async fn answer(
+/// Forwards a target's response to the client.
+async fn forward(
     cx: &Arc<Context>,
     job: &Arc<Job>,
-    picked: Picked,
-    mut live: Live,
-    tried: &mut Tried,
-) -> Answered {
-    let key = picked.flight.key();
+    selected: Selected,
+    mut live: LiveResponse,
+    attempts: &mut Attempts,
+) -> Forwarded {
+    let key = selected.in_flight.key();
     let begun = Instant::now();
     if job.route.stream && live.head.status.is_success() {
-        return match stream::open(cx, job, picked, live, tried).await {
-            Ok(resp) => Answered::Done(resp),
-            Err(reason) => Answered::Failed(reason),
+        return match stream::open(cx, job, selected, live, attempts).await {
+            Ok(resp) => Forwarded::Done(resp),
+            Err(reason) => Forwarded::Failed(reason),
         };
     }
-    let until = attempt_until(job, tried);
+    let until = attempt_deadline(job, attempts);
     let body = match live.collect(until).await {
         Ok(body) => body,
         Err(e) => {
-            tried.keys.push(key);
-            crash::note_cut(cx, job, key, Some(begun));
+            attempts.keys.push(key);
+            crash::record_interrupted(cx, job, key, Some(begun));
             Line::failure("cut")
                 .text("id", &job.meta.id)
                 .text("error", &e)
                 .write();
-            return Answered::Failed(Reason::Lost);
+            return Forwarded::Failed(Reason::Lost);
         }
     };
     let failed = live.head.status.is_server_error();
     let in_time = job.deadline.saturating_duration_since(Instant::now()) > job.route.objective / 2;
-    if failed && in_time && tried.may_run_again(job) && cx.may_retry(&job.service) {
-        tried.keys.push(key);
-        tried.paid = true;
-        tried.failure = Some(response(&live.head, full(body)));
-        return Answered::Failed(Reason::Lost);
+    if failed && in_time && attempts.may_run_again(job) && cx.may_retry(&job.service) {
+        attempts.keys.push(key);
+        attempts.paid = true;
+        attempts.failure = Some(client_response(&live.head, full(body)));
+        return Forwarded::Failed(Reason::Lost);
     }
     quarantine::survived(cx, job);
     Line::new("answered")
@@ -442,11 +453,11 @@
         .num("bytes", body.len() as i64)
         .ms("took_ms", job.received.elapsed())
         .write();
-    Answered::Done(response(&live.head, full(body)))
+    Forwarded::Done(client_response(&live.head, full(body)))
 }
 
-/// Makes the client's answer from the head of a target's.
-pub fn response(head: &hyper::http::response::Parts, body: Body) -> Response<Body> {
+/// Builds the response to the client from the head of a target's response.
+pub fn client_response(head: &hyper::http::response::Parts, body: Body) -> Response<Body> {
     let mut headers = head.headers.clone();
     strip_hop(&mut headers);
     let mut resp = Response::new(body);
