--- a/crates/stair-sidecar/src/controller.rs
+++ b/crates/stair-sidecar/src/controller.rs
@@ -1,8 +1,10 @@
-//! What the engine holds, which loads are requested, and the next order. No I/O; time is passed in.
+//! Tracks what an engine has loaded and which loads are requested, and plans its next order.
 //!
-//! Invariants: an order names the sequence of the newest reading, so the engine rejects it when it comes late or twice;
-//! the weights after an order never exceed the engine's memory. A load that a former life of the engine left unanswered
-//! may still be carried out, and takes its room until that is no longer possible.
+//! No I/O; time is passed in. Invariants:
+//!
+//! - An order names the sequence of the newest reading, so the engine rejects an order that arrives late or twice.
+//! - The weights after an order never exceed the engine's memory. An unconfirmed load from before the engine's restart
+//!   may still be carried out; its memory stays reserved until that is impossible.
 
 mod plan;
 mod report;
@@ -32,41 +34,40 @@
     key, //
 };
 
-/// Time for which an adapter that is still in use counts as making way. Until its requests end the
-/// engine keeps it, and ordering it again or another one away gains nothing.
+/// Time for which an adapter whose unload was accepted counts as unloading. The engine keeps it until
+/// its requests end; repeating the order, or unloading another adapter meanwhile, gains nothing.
 const ADAPTER_UNLOAD_TIMEOUT: Duration = Duration::from_millis(1500);
 
-/// Pause after the engine refused an order because of another one, or of a state that has changed:
-/// asking again at once would be refused again.
+/// Pause after the engine refused an order because of a concurrent order or a changed state. An
+/// immediate retry would be refused as well.
 const CONFLICT_PAUSE: Duration = Duration::from_millis(120);
 
-/// Time after which an order that was not answered is not carried out any more. Operators speak of
-/// seconds.
+/// Time after which an unconfirmed order is no longer carried out. Operators state a few seconds.
 const UNCONFIRMED_ORDER_TTL: Duration = Duration::from_secs(10);
 
-/// Time in which what an engine held before it crashed is brought back, each model after the other. Later
-/// than that, entries have asked for what is still missed.
+/// Time in which the models that were loaded before a crash are loaded again, one after another. By
+/// then, entries have requested the models that are still needed.
 const RESTORE_TIMEOUT: Duration = Duration::from_secs(6);
 
-/// Who asked.
+/// Identifies a load request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct LoadRequestId {
-    /// On which connection.
+    /// The connection that the request came on.
     pub link: LinkKey,
-    /// The question's number there.
+    /// The request's number on that connection.
     pub seq: u64,
 }
 
-/// An order to give now.
+/// An order to send to the engine now.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct PlannedOrder {
     /// Whether to load or unload.
     pub load: bool,
     /// The model.
     pub model: Box<str>,
-    /// Its adapter, if the order is about one.
+    /// The adapter of the model; none when the order is about the model itself.
     pub adapter: Option<Box<str>>,
-    /// The sequence that it is planned on.
+    /// The sequence of the reading that the order is planned on.
     pub planned_on: u64,
 }
 
@@ -74,7 +75,7 @@
     id: LoadRequestId,
     req: LoadRequest,
     since: Duration,
-    /// Whether the engine has refused the order for it.
+    /// Whether the engine has refused the load.
     failed: bool,
 }
 
@@ -85,23 +86,23 @@
     from: Copy,
     since: Duration,
     until: Duration,
-    /// Loads from the weight store that run together with it, itself among them.
+    /// Loads from the weight store that run at the same time, including this one.
     together: u32,
 }
 
-/// A load that was ordered and not answered; it may be carried out late.
+/// A load that was ordered without a reply; the engine may still carry it out.
 struct UnconfirmedOrder {
     model: Box<str>,
     planned_on: u64,
     until: Duration,
 }
 
-/// The state of one engine and of what is asked of it.
+/// The state of one engine and the load requests for it.
 #[derive(Default)]
 pub struct Controller {
     decl: Option<Engine>,
     reading: Option<Reading>,
-    /// When the engine's present life started, by its own clock, where it says so.
+    /// Start of the engine's present incarnation by the engine's clock, where readings state it.
     started: Option<u64>,
     alive: bool,
     load_requests: Vec<Pending>,
@@ -109,36 +110,37 @@
     usage: Usage,
     /// Rejected requests for models that no engine could load in time.
     unserved: Usage,
-    /// Adapters, as `MODEL/NAME`, that make way once their requests have ended, and until when they
-    /// count as doing so.
+    /// Adapters, as `MODEL/NAME`, that the engine unloads once their requests have ended, and until
+    /// when they count as unloading.
     unloading_adapters: Vec<(Box<str>, Duration)>,
-    /// Models that get no new requests, so that they can make way once those in flight have ended.
+    /// Models that get no new requests, to be unloaded once the requests in flight have ended.
     evicting: Vec<Box<str>>,
-    /// No order before then.
+    /// Time before which no order is planned.
     not_before: Duration,
-    /// Loads that the present life of the engine has not answered.
+    /// Loads ordered from the present incarnation of the engine, without a reply.
     unconfirmed: Vec<UnconfirmedOrder>,
-    /// Those that a former life has not answered.
+    /// Loads ordered from earlier incarnations, without a reply.
     unconfirmed_before_restart: Vec<UnconfirmedOrder>,
     /// The last load from the weight store that ended, and when.
     fetched: Option<(Fetched, Duration)>,
-    /// When the last one began.
+    /// When the last load from the weight store began.
     fetch_began: Option<Duration>,
     opts: Options,
 }
 
-/// Bounds of what is ordered.
+/// Limits on orders.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct Options {
-    /// An engine begins one load from the weight store in such a time at most.
+    /// Least time between the starts of two loads of one engine from the weight store.
     ///
-    /// The weight store limits the loads that begin in this time over all engines, also while agents are cut off
-    /// from each other. An engine that crashes in a load, or loads faster, would begin the next at once.
+    /// The weight store limits the loads that begin in this time over all engines, also while agents
+    /// cannot reach each other. Without it, an engine that crashes during a load, or loads faster,
+    /// would begin the next one at once.
     pub fetch_window: Duration,
 }
 
 impl Controller {
-    /// Makes one that knows nothing yet.
+    /// Creates a controller without a declaration or a reading.
     pub fn new(opts: Options) -> Self {
         Self {
             opts,
@@ -146,27 +148,27 @@
         }
     }
 
-    /// Takes in what the engine's service declares.
+    /// Replaces the declaration of the engine's service.
     pub fn declare(&mut self, decl: Engine) {
         self.decl = Some(decl);
     }
 
-    /// Whether an order is being carried out.
+    /// Whether the engine is carrying out an order.
     pub fn busy(&self) -> bool {
         self.in_progress.is_some() || self.reading.as_ref().is_some_and(|r| r.busy)
     }
 
-    /// Whether anything is asked for.
+    /// Whether any load request is open.
     pub fn has_load_requests(&self) -> bool {
         !self.load_requests.is_empty()
     }
 
-    /// Counts what is asked for and not answered.
+    /// Number of open load requests.
     pub fn load_requests(&self) -> usize {
         self.load_requests.len()
     }
 
-    /// Takes a question in.
+    /// Adds a load request.
     pub fn request_load(&mut self, id: LoadRequestId, req: LoadRequest, now: Duration) {
         self.usage.record_request(&req, now);
         self.load_requests.push(Pending {
@@ -177,50 +179,52 @@
         });
     }
 
-    /// Takes a question back.
+    /// Withdraws a load request.
     ///
-    /// A request that found the model elsewhere, or whose client left, would otherwise still have it
-    /// loaded here, in the place of one that is in use.
+    /// A client's request that was served by another engine, or whose client disconnected, would
+    /// otherwise still have its model loaded here, and a model in use evicted for it.
     pub fn cancel(&mut self, id: LoadRequestId) {
         self.load_requests.retain(|p| p.id != id);
     }
 
-    /// Takes in what an entry has sent to the engine.
+    /// Records what an entry has sent to the engine.
     pub fn record_use(&mut self, link: LinkKey, list: &[Used], now: Duration) {
         self.usage.take(link, list, now);
     }
 
-    /// Counts a rejected request for a model that no engine could load in time.
+    /// Records a rejected request for a model that no engine could load in time.
     pub fn record_unserved(&mut self, model: &str, now: Duration) {
         self.unserved.count(model, now);
     }
 
-    /// Whether a model gets no new requests here: it makes way.
+    /// Whether a model is being evicted and gets no new requests.
     pub fn is_evicting(&self, model: &str) -> bool {
         let unloading = self.in_progress.as_ref().filter(|d| !d.load);
         let ordered = unloading.is_some_and(|d| *d.model == *model);
         ordered || self.evicting.iter().any(|m| **m == *model)
     }
 
-    /// Takes in a prompt that takes so long to be read, and whether it has its slot and is on its way.
+    /// Records a prompt whose prefill takes `work`, and whether it was admitted to a prefill slot.
     pub fn record_prompt(&mut self, model: &str, admitted: bool, work: Duration, now: Duration) {
         self.usage.record_prompt(model, admitted, work, now);
     }
 
-    /// Forgets a connection.
+    /// Drops the load requests and the requests in flight of a connection that has ended.
     pub fn disconnected(&mut self, link: LinkKey) {
         self.load_requests.retain(|p| p.id.link != link);
         self.usage.remove_link(link);
     }
 
-    /// Takes a reading of the engine in, `None` when it does not answer. Whether the engine has started
-    /// again under the id that it had since the last one.
+    /// Updates the state from a reading of the engine, `None` when the engine is unresponsive.
+    ///
+    /// Returns whether the engine has restarted under the same id since the previous reading.
     pub fn read(&mut self, reading: Option<Reading>, now: Duration) -> bool {
         let was_alive = std::mem::replace(&mut self.alive, reading.is_some());
         let Some(reading) = reading else {
-            // What it was loading is lost if it has crashed. Told on, that load would take one of the
-            // few places at the weight store, and look as if others had slowed it, for as long as
-            // the engine is away. One that comes back in its load says that it is busy.
+            // A crash loses the load in progress. If it were still reported, it would occupy one of
+            // the few load slots of the weight store while the engine is down, and look as if
+            // concurrent loads had slowed it. An engine that is still loading when it responds
+            // again reports that it is busy.
             self.in_progress = None;
             return false;
         };
@@ -247,7 +251,7 @@
             });
             held && now < *until
         });
-        // A load that takes longer than expected has some time left, not none.
+        // A load that takes longer than expected still has some time left.
         if let Some(in_progress) = &mut self.in_progress
             && in_progress.until < now
         {
@@ -257,10 +261,11 @@
         restarted
     }
 
-    /// Asks for what the engine held and was used for, if it has come back empty.
+    /// Requests the models in use before a restart, if the engine has none loaded now.
     ///
-    /// Entries ask for a model again only when the list has the engine's new life, seconds later, and then in
-    /// the order in which their requests happen to come. From its own disk the model is back by then.
+    /// Entries request a model again only when the platform's list has the engine's new incarnation,
+    /// seconds later, and then in the order in which their requests arrive. From the engine's own
+    /// disk the model is loaded by then.
     fn restore(&mut self, reading: &Reading, now: Duration) {
         let Some(before) = &self.reading else { return };
         if !reading.holds.models.is_empty() {
@@ -293,7 +298,8 @@
         }
     }
 
-    /// Takes in whether the engine has started again, and which unanswered orders may still come.
+    /// Detects a restart, and drops the unconfirmed loads that can no longer be carried out. Returns
+    /// whether the engine has restarted.
     fn update_incarnation(&mut self, reading: &Reading, now: Duration) -> bool {
         let before = self.started;
         self.started = reading.started.or(before);
@@ -305,14 +311,14 @@
             self.unconfirmed_before_restart
                 .append(&mut self.unconfirmed);
         }
-        // Each is planned on a count that the engine goes past only once.
+        // The engine rejects an order once its sequence exceeds the one that the order names.
         let may_come = |u: &UnconfirmedOrder| u.planned_on >= reading.sequence && now < u.until;
         self.unconfirmed.retain(may_come);
         self.unconfirmed_before_restart.retain(may_come);
         restarted
     }
 
-    /// Takes in what the engine said to an order; `None` when it said nothing in time.
+    /// Handles the engine's reply to an order; `None` when there was none in time.
     pub fn replied(&mut self, planned: &PlannedOrder, reply: Option<Reply>, now: Duration) {
         match reply {
             Some(Reply::Accepted) if planned.adapter.is_none() => {
@@ -341,8 +347,8 @@
                 }
             }
             Some(Reply::Conflict) => self.not_before = now + CONFLICT_PAUSE,
-            // The next reading tells: the sequence has risen, or the same order is given again,
-            // planned on the same sequence, so that at most one of the two takes effect.
+            // The next reading decides: either the sequence has risen, or the order is repeated with
+            // the same sequence, so that at most one of the two takes effect.
             Some(Reply::Holds) => {}
             None if planned.load && planned.adapter.is_none() => {
                 self.unconfirmed.push(UnconfirmedOrder {
@@ -363,7 +369,7 @@
         }
     }
 
-    /// Answers the load requests that can be answered by what is known now.
+    /// Removes the load requests whose outcome is known, and returns their outcomes.
     pub fn resolve(&mut self, control: bool, now: Duration) -> Vec<(LoadRequestId, Outcome)> {
         let mut out = Vec::new();
         let load_requests = std::mem::take(&mut self.load_requests);
@@ -371,7 +377,7 @@
             match self.outcome(&p, control, now) {
                 Some(outcome) => {
                     if outcome == Outcome::Ready {
-                        // The request that asked is only now on its way.
+                        // The client's request is sent to the engine only now.
                         self.usage.record_request(&p.req, now);
                     }
                     out.push((p.id, outcome));
@@ -393,7 +399,7 @@
             return Some(Outcome::Failed);
         }
         if !control || !self.alive || self.reading.is_none() || self.decl.is_none() {
-            // The agent itself waits until it is told the engine's new life.
+            // The agent's own requests wait until the engine's new incarnation is known.
             let own = p.id.link == LinkKey::AGENT;
             return (!own).then_some(Outcome::NoControl);
         }
@@ -443,7 +449,7 @@
         decl.map_or(Duration::ZERO, |m| m.load_time(from))
     }
 
-    /// How many times its declared time a load has taken.
+    /// Ratio of the time that a load has taken to its declared time; 0 when none is declared.
     fn times(&self, in_progress: &OrderInProgress, now: Duration) -> f32 {
         let declared = self.load_time(&in_progress.model, in_progress.from);
         let taken = now.saturating_sub(in_progress.since);
--- a/crates/stair-sidecar/src/controller/plan.rs
+++ b/crates/stair-sidecar/src/controller/plan.rs
@@ -1,4 +1,4 @@
-//! The next order, and what makes room for it.
+//! Plans the next order, and the evictions that it needs.
 
 use std::time::Duration;
 
@@ -18,46 +18,47 @@
     key, //
 };
 
-/// Whether there is room for a model.
+/// Whether and how a model can be loaded.
 enum LoadPlan {
-    /// The order that loads it, or makes room for it.
+    /// The order that loads the model, or that unloads another one for it.
     Now(PlannedOrder),
-    /// What could make way was asked for a moment ago, or is in use; what is to get no new requests.
+    /// All candidates for eviction were requested recently or are in use. Names the model that is to
+    /// get no new requests, if one is chosen.
     Later(Option<Box<str>>),
-    /// The engine is too small for it, or it is not declared.
+    /// The engine's memory is too small for the model, or the model is not declared.
     Never,
 }
 
-/// A model that is asked for and not there.
+/// A requested model that is not loaded.
 struct MissingModel<'a> {
     model: &'a str,
-    /// The oldest request for it.
+    /// Index of the oldest load request for it.
     oldest: usize,
-    /// Requests that wait for it.
+    /// Load requests that clients wait for; prefetches don't count.
     waiting: usize,
     from: Copy,
     takes: Duration,
 }
 
 impl MissingModel<'_> {
-    /// Requests served for each second that the load takes.
+    /// Requests served per second of load time.
     fn gain(&self) -> f64 {
         self.waiting as f64 / self.takes.as_secs_f64().max(MIN_LOAD_S)
     }
 }
 
-/// Time that a load is taken to need at least, in seconds, as one from host memory does.
+/// Least load time assumed, in seconds: that of a load from host memory.
 const MIN_LOAD_S: f64 = 0.1;
 
 impl Controller {
-    /// Returns the next order, if one is to be given now. Load requests that nothing can be done for are
-    /// answered through `refused`.
+    /// Returns the next order, if one is due now. Load requests that cannot be satisfied are removed and
+    /// added to `refused`.
     pub fn next(
         &mut self,
         refused: &mut Vec<(LoadRequestId, Outcome)>,
         now: Duration,
     ) -> Option<PlannedOrder> {
-        // An engine takes no order of any kind while a model comes or goes.
+        // An engine accepts no order while it loads or unloads a model.
         if self.busy() || now < self.not_before {
             return None;
         }
@@ -74,7 +75,7 @@
                     break;
                 }
                 LoadPlan::Later(None) => {}
-                // One at a time: the next request may need no more room than this one makes.
+                // One victim at a time: its memory may suffice for the next request as well.
                 LoadPlan::Later(Some(victim)) if self.evicting.is_empty() => {
                     self.evicting.push(victim);
                 }
@@ -90,7 +91,7 @@
         planned
     }
 
-    /// The models that are asked for and not there, by name.
+    /// The requested models that are not loaded, sorted by name.
     fn missing_models(&self) -> Vec<MissingModel<'_>> {
         let mut out: Vec<MissingModel<'_>> = Vec::new();
         for (i, p) in self.load_requests.iter().enumerate() {
@@ -117,8 +118,9 @@
         out
     }
 
-    /// The oldest load request for each model to load, as they go: the most requests served for the time that the
-    /// load takes first, of those that are equal the oldest; last what no request waits for.
+    /// Returns the index of the oldest load request for each model to load, in the order of loading:
+    /// by requests served per second of load time, then by age. Models that no client waits for
+    /// come last.
     fn models_to_load(&self, now: Duration) -> Vec<usize> {
         let may_fetch = self
             .fetch_began
@@ -132,8 +134,8 @@
         models.iter().map(|a| a.oldest).collect()
     }
 
-    /// Time that the loads from copies will take that are asked for and have not begun. Those from the
-    /// weight store take turns after them, unless many requests wait for one.
+    /// Total time of the requested loads from copies that have not begun. Loads from the weight store
+    /// come after them, unless many requests wait for one.
     pub(super) fn to_load(&self) -> Duration {
         let missing_models = self.missing_models();
         let near = missing_models.iter().filter(|a| a.from != Copy::Store);
@@ -142,11 +144,11 @@
             .sum()
     }
 
-    /// The next step towards a model: unload a victim, or load it.
+    /// Plans the load of a model: the load itself, or the unload of a victim.
     ///
-    /// An engine takes no order while it unloads a model, and that waits for the model's streams. So a
-    /// victim with requests in flight gets no new ones first, and the order is given when they have
-    /// ended; meanwhile the engine takes the orders that need no such wait.
+    /// An engine accepts no order while it unloads a model, and the unload waits for the model's
+    /// streams. So a victim with requests in flight first gets no new ones, and is unloaded when those
+    /// have ended; meanwhile the engine accepts orders that need no such wait.
     fn plan_load(&self, pending: &Pending, evicting: &[Box<str>], now: Duration) -> LoadPlan {
         let req = &pending.req;
         let (Some(decl), Some(reading)) = (&self.decl, &self.reading) else {
@@ -170,15 +172,15 @@
             return LoadPlan::Now(planned(true, &req.model));
         }
         if pending.id.link == LinkKey::AGENT {
-            // What entries have asked for since is missed more.
+            // A restored model evicts none: models that entries have requested since are needed more.
             return LoadPlan::Never;
         }
         let idle =
             |v: &str| self.usage.in_flight(v) == 0 && self.usage.eviction_hold_elapsed(v, now);
         let named = req.victims.iter().map(|v| &**v);
         let named = named.filter(|v| reading.holds.model(v).is_some());
-        // The entry's view can be a second old; what it named may be gone, then the least used
-        // ones make way.
+        // The entry's view can be a second old, and the victims that it named unloaded already. Then
+        // the least used models are evicted.
         let mut others: Vec<&str> = reading.holds.models.iter().map(|h| &*h.name).collect();
         others.sort_by(|a, b| self.usage.rate(a, now).total_cmp(&self.usage.rate(b, now)));
         if let Some(victim) = named.clone().chain(others).find(|v| idle(v)) {
@@ -221,7 +223,7 @@
         Some(planned(false, &model, &adapter))
     }
 
-    /// The adapter that nothing uses and that was asked for the longest ago.
+    /// The adapter without requests in flight whose last request is the oldest.
     fn idle_adapter(&self, now: Duration) -> Option<(Box<str>, Box<str>)> {
         let reading = self.reading.as_ref()?;
         let all = reading.holds.models.iter().flat_map(|h| {
@@ -236,13 +238,14 @@
         .min_by_key(|one| self.usage.last_request(&name(one)))
     }
 
-    /// Memory taken by what the engine holds and by adapters on their way to it.
+    /// Memory of the loaded models and adapters, of adapters being loaded and of unconfirmed loads, in
+    /// MB.
     fn committed_mb(&self) -> f64 {
         let (Some(decl), Some(reading)) = (&self.decl, &self.reading) else {
             return f64::INFINITY;
         };
         let models = reading.holds.models.iter().map(|h| {
-            // A model that is no longer declared still takes memory: assume the largest.
+            // A model that is no longer declared still occupies memory; the largest size is assumed.
             let largest = || decl.models.iter().map(|m| m.weights_mb).fold(0.0, f64::max);
             let size = decl.model(&h.name).map_or_else(largest, |m| m.weights_mb);
             let adapter = decl.model(&h.name).map_or(0.0, |m| m.adapter_mb);
--- a/crates/stair-sidecar/src/controller/report.rs
+++ b/crates/stair-sidecar/src/controller/report.rs
@@ -1,4 +1,4 @@
-//! What entries are told of the engine.
+//! Reports of the engine's state for the entries.
 
 use std::time::Duration;
 
@@ -14,26 +14,26 @@
 use super::Controller;
 use crate::usage::key;
 
-/// Time for which entries are told how long a load from the weight store took. Others use the store
-/// too, so that what was so for some minutes need not stay so.
+/// Time for which the duration of a load from the weight store is reported. Other engines use the
+/// store too, so an older duration says little about the next load.
 const FETCHED_TTL: Duration = Duration::from_secs(120);
 
-/// Rate below which use is not told: one request in several minutes.
+/// Rate below which use is not reported: one request in several minutes.
 const MIN_REPORTED_PER_S: f32 = 0.005;
 
 impl Controller {
-    /// Tokens that the engine's memory has room for; 0 when it has not been read.
+    /// Token capacity of the engine's memory; 0 without a reading.
     pub fn memory_tokens(&self) -> u64 {
         self.reading.as_ref().map_or(0, |r| r.total_tokens)
     }
 
-    /// Returns what the engine holds.
+    /// Returns the models and adapters that the engine has loaded, and its copies of others.
     pub fn inventory(&self) -> Holds {
         let reading = self.reading.as_ref();
         reading.map(|r| r.holds.clone()).unwrap_or_default()
     }
 
-    /// Returns what entries are told beside that.
+    /// Returns the engine's load, without the prefill backlog.
     pub fn load(&self, now: Duration) -> Load {
         let Some(reading) = &self.reading else {
             return Load::default();
@@ -101,7 +101,7 @@
         self.fetched.filter(|(_, at)| fresh(*at)).map(|(f, _)| f)
     }
 
-    /// Places for adapters that are free or could be freed at once.
+    /// Adapter slots that are free or whose adapter has no requests in flight.
     fn free_adapters(&self) -> u32 {
         let (Some(decl), Some(reading)) = (&self.decl, &self.reading) else {
             return 0;
--- a/crates/stair-sidecar/src/engine.rs
+++ b/crates/stair-sidecar/src/engine.rs
@@ -1,4 +1,4 @@
-//! Readings of the engine and orders to it.
+//! Reads the engine's state and sends orders to it.
 
 use std::{
     net::SocketAddr,
@@ -22,25 +22,25 @@
     Client, //
 };
 
-/// Time for a reading. The engine is on the same VM; one that needs longer stands still or is gone.
+/// Time for a reading. The engine is on the same VM; if it takes longer it is unresponsive or down.
 const READ_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// Time for the answer to an order. An engine answers within milliseconds or has lost the answer.
+/// Time for the reply to an order. An engine replies within milliseconds, or the reply is lost.
 const ORDER_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// Longest answer: a reading with all adapters is some kilobytes.
+/// Largest response body. A reading with all adapters is some kilobytes.
 const MAX_RESPONSE_BYTES: usize = 1 << 20;
 
 /// Why a call to the engine failed.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
-    /// The connection failed or fell silent.
+    /// The connection failed or timed out.
     #[error(transparent)]
     Client(#[from] client::Error),
-    /// The answer does not decode.
+    /// The response does not decode.
     #[error(transparent)]
     Decode(#[from] platform_adapter::Error),
-    /// The engine refused.
+    /// The engine refused the call with this status.
     #[error("status {0}")]
     Status(u16),
 }
@@ -51,7 +51,7 @@
 }
 
 impl Engine {
-    /// Makes a client; it opens no connection yet.
+    /// Creates a client for the engine at `addr`; it opens no connection yet.
     pub fn new(addr: SocketAddr) -> Self {
         let opts = client::Options {
             connect_timeout: READ_TIMEOUT,
@@ -63,7 +63,7 @@
         }
     }
 
-    /// Reads the engine's state, and its present life where it says so.
+    /// Reads the engine's state, and its present incarnation where the response states it.
     ///
     /// # Errors
     ///
@@ -79,12 +79,12 @@
         Ok((reading(&body)?, incarnation))
     }
 
-    /// Gives an order. The answer names the engine's present life where the order was meant for
-    /// another.
+    /// Sends an order. Where the order was meant for another incarnation, the response states the present
+    /// one.
     ///
     /// # Errors
     ///
-    /// See [`Error`]; the order may then have been accepted, or may be carried out later.
+    /// See [`Error`]; the order may nevertheless have been accepted, or be carried out later.
     pub async fn order(&self, order: &Order) -> Result<(Reply, Option<Box<str>>), Error> {
         let response = self.client.send(order_call(order)?, ORDER_TIMEOUT).await?;
         let status = response.head.status;
--- a/crates/stair-sidecar/src/fence.rs
+++ b/crates/stair-sidecar/src/fence.rs
@@ -1,8 +1,8 @@
 //! Raises the fencing token in the store.
 //!
-//! An agent that was replaced while it stood still could order the engine after its successor. The
-//! engine refuses a token lower than one it has seen, and the conditional update makes each start's
-//! token higher than all before, also when two starts race.
+//! An agent that was frozen and replaced could still send orders to the engine after its successor. The
+//! engine refuses a token lower than the highest that it has seen, and the conditional update gives
+//! each start of an agent a higher token than all earlier ones, also when two starts race.
 
 use platform_adapter::store::Store;
 use serde_json::json;
@@ -15,8 +15,8 @@
 ///
 /// # Errors
 ///
-/// [`Error::Conflict`] when another raised it meanwhile, and as any call. An unknown outcome needs
-/// no settling: the next raise goes beyond it.
+/// [`Error::Conflict`] when another agent raised the token meanwhile, otherwise as any store call. After
+/// an unknown outcome the token is simply raised again.
 pub async fn raise(store: &Store, vm: &str) -> Result<u64, Error> {
     match store.get(KIND, vm).await {
         Ok(object) => {
--- a/crates/stair-sidecar/src/lib.rs
+++ b/crates/stair-sidecar/src/lib.rs
@@ -1,16 +1,16 @@
 //! The agent beside a model engine that announces itself in the store.
 //!
-//! It alone orders its engine. Requests do not pass through it: entries send them straight to the
-//! engine, so that a dead agent costs no sound engine.
+//! Only the agent sends orders to its engine. Clients' requests do not pass through it: entries send
+//! them to the engine directly, so a failed agent does not take a healthy engine out of service.
 //!
-//! - [`quotas`]: counts the allowances of workspaces for all entries.
-//! - [`controller`]: what the engine holds, what is asked for, and the next order; without input or output.
+//! - [`process`]: start, main loop, stop.
+//! - [`controller`]: the engine's loaded models, the load requests and the next order; no I/O.
+//! - [`usage`]: the use of each model and adapter by all entries.
 //! - [`engine`]: readings of the engine and orders to it.
 //! - [`fence`]: raises the fencing token in the store.
 //! - [`links`]: the connections of entries.
-//! - [`quarantine`]: requests that end the targets that run them, for all entries.
-//! - [`usage`]: how much each model and adapter is used, by all entries.
-//! - [`process`]: start, main loop, stop.
+//! - [`quotas`]: counts the quotas of workspaces for all entries.
+//! - [`quarantine`]: the ledger of requests that crash targets, for all entries.
 #![deny(missing_docs)]
 #![forbid(unsafe_code)]
 
--- a/crates/stair-sidecar/src/links.rs
+++ b/crates/stair-sidecar/src/links.rs
@@ -1,9 +1,9 @@
-//! The connections of entries.
+//! Serves the connections of entries.
 //!
-//! They are in the clear: VMs have neither disk nor keys, and what comes over them can at most make
-//! the engine load or drop models. docs/design/on-platform.md weighs the ways.
+//! Connections are not encrypted: VMs have neither disk nor keys, and a message can at most make the
+//! engine load or unload models. docs/design/on-platform.md compares the alternatives.
 //!
-//! Allowances and quarantine are answered here: a question about them must not wait for the engine.
+//! Requests about quotas and quarantine are handled here, so that they do not wait for the engine.
 
 use std::{
     sync::Arc,
@@ -37,38 +37,38 @@
     usage::LinkKey, //
 };
 
-/// Messages waiting for one entry. A report replaces the ones before it, so an entry that reads
-/// slowly loses nothing by a dropped one.
+/// Messages that may wait for one entry. Each report replaces the earlier ones, so an entry that reads
+/// slowly loses nothing by a dropped report.
 const QUEUE_CAPACITY: usize = 32;
 
-/// Time without a message after which a link is taken for dead; entries speak every second.
+/// Time without a message after which a link is closed; entries send one every second.
 const SILENCE_TIMEOUT: Duration = Duration::from_secs(4);
 
-/// Time to write a message. An entry that stands still would otherwise hold its messages for ever.
+/// Time to write a message. Without it, the messages to a frozen entry would be kept forever.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(4);
 
-/// What comes from the links.
+/// An event for the main loop.
 pub enum Event {
     /// A link was opened; messages for its entry go into the channel.
     Opened(LinkKey, mpsc::Sender<ToEntry>),
-    /// A message came.
+    /// An entry has sent a message.
     Message(LinkKey, ToAgent),
-    /// The link is gone.
+    /// The link has ended.
     Closed(LinkKey),
-    /// The operator asks for the state.
+    /// An operator requests the agent's state.
     Dump(oneshot::Sender<Dump>),
 }
 
-/// What is answered without the main loop.
+/// The ledgers that links use without the main loop.
 #[derive(Clone)]
 pub struct Ledgers {
-    /// Allowances of workspaces.
+    /// Quotas of workspaces.
     pub quotas: Arc<Quotas>,
-    /// Requests that end their targets.
+    /// Requests that crash their targets.
     pub quarantine: Arc<Quarantine>,
 }
 
-/// Accepts links until the receiver of events is gone.
+/// Accepts links until the receiver of events is closed.
 pub async fn accept(listener: TcpListener, events: mpsc::Sender<Event>, ledgers: Ledgers) {
     let mut next = 0;
     while !events.is_closed() {
@@ -78,14 +78,14 @@
                 let key = LinkKey(next);
                 tokio::spawn(serve(stream, key, events.clone(), ledgers.clone()));
             }
-            // Out of descriptors, for instance: accepting again at once would spin.
+            // For instance when no file descriptor is free: an immediate retry would spin.
             Err(_) => tokio::time::sleep(Duration::from_millis(50)).await,
         }
     }
 }
 
 async fn serve(stream: TcpStream, key: LinkKey, events: mpsc::Sender<Event>, ledgers: Ledgers) {
-    // Without it a message waits for the acknowledgement of the one before; it still arrives.
+    // On failure messages still arrive, but each waits for the acknowledgement of the previous one.
     let _ = stream.set_nodelay(true);
     let (r, w) = stream.into_split();
     let (tx, rx) = mpsc::channel(QUEUE_CAPACITY);
@@ -98,7 +98,7 @@
         () = write(w, rx) => {}
     }
     ledgers.quarantine.closed(key);
-    // The main loop is gone when this fails, and with it all that the link was for.
+    // Fails only when the main loop has ended, and the state of this link with it.
     let _ = events.send(Event::Closed(key)).await;
 }
 
@@ -113,7 +113,7 @@
         let msg = match msg {
             ToAgent::Allow { seq, ask } => {
                 let answer = ledgers.quotas.request(&ask);
-                // An entry that does not read asks another agent.
+                // An entry that does not read sends its request to another agent.
                 let _ = tx.try_send(ToEntry::Allowed { seq, answer });
                 continue;
             }
--- a/crates/stair-sidecar/src/process.rs
+++ b/crates/stair-sidecar/src/process.rs
@@ -1,4 +1,4 @@
-//! Start, main loop, stop.
+//! Starts the agent, runs its main loop and stops it.
 
 pub(crate) mod dump;
 mod publish;
@@ -71,23 +71,24 @@
     usage::LinkKey,
 };
 
-/// Pause between readings while nothing is asked for. Reports are at most this old.
+/// Pause between readings while no load is requested. The reported state is at most this old.
 const READ_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Pause between readings while an order is carried out: the end of a load shows this late.
+/// Pause between readings during an order or while load requests wait. The end of a load is noticed
+/// at most this late.
 const BUSY_READ_INTERVAL: Duration = Duration::from_millis(40);
 
-/// Pause between looks whether what entries are told of each other has changed.
+/// Pause between checks whether the peers reported to entries have changed.
 const PEERS_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Pause between tries to raise the fencing token while the store does not answer.
+/// Pause between attempts to raise the fencing token after a failed one.
 const FENCE_RETRY_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Readings that may fail before the engine is taken for dead: one may be lost in a crash of the
-/// connection alone.
+/// Successive failed readings after which the engine counts as down. A single one may be due to a lost
+/// connection.
 const MAX_FAILED_READS: u32 = 2;
 
-/// Messages of all links waiting for the main loop.
+/// Messages of all links that may wait for the main loop.
 const QUEUE_CAPACITY: usize = 256;
 
 /// An agent whose addresses are bound.
@@ -102,9 +103,9 @@
     ///
     /// # Errors
     ///
-    /// When an address cannot be bound: another agent of this engine is alive.
+    /// When an address cannot be bound, for instance because another agent of this engine is running.
     pub async fn bind(mut settings: SidecarSettings) -> anyhow::Result<Self> {
-        // The exclusive bind is also the lock against a second agent on this VM.
+        // The bind also serves as the lock against a second agent on this VM.
         let inner = TcpListener::bind(settings.inner)
             .await
             .with_context(|| format!("another agent is alive at {}", settings.inner))?;
@@ -158,7 +159,7 @@
 ///
 /// # Errors
 ///
-/// When an address cannot be bound: another agent of this engine is alive.
+/// When an address cannot be bound, for instance because another agent of this engine is running.
 pub async fn run(
     mut reloads: watch::Receiver<SidecarSettings>,
     stop: watch::Receiver<bool>,
@@ -168,10 +169,10 @@
     Ok(())
 }
 
-/// Asks the main loop for its state.
+/// Requests the state of the main loop.
 async fn request_dump(events: mpsc::Sender<Event>) -> Value {
     let (tx, rx) = oneshot::channel();
-    // Both fail only when the process is ending.
+    // Both fail only while the process is stopping.
     let asked = events.send(Event::Dump(tx)).await.is_ok();
     match rx.await {
         Ok(dump) if asked => json!(dump),
@@ -179,11 +180,12 @@
     }
 }
 
+/// The connection of an entry.
 struct Link {
     key: LinkKey,
     tx: mpsc::Sender<ToEntry>,
     known: Option<ReplicationState>,
-    /// What it has been told of the other entries, without those that are ahead of it.
+    /// The peers last sent to the entry, without those with a newer state.
     published_peers: Option<Peers>,
 }
 
@@ -198,12 +200,13 @@
     lag: Lag,
     fence: Option<u64>,
     fence_tx: mpsc::Sender<u64>,
-    /// The engine's present life, and the store's revision that says so.
+    /// The engine's present incarnation, and the store revision that states it.
     incarnation: Option<(Box<str>, u64)>,
-    /// The last life that the engine said it is not.
+    /// The last incarnation that the engine has rejected as stale.
     stale_incarnation: Option<Box<str>>,
+    /// Catalogue version of the declaration in force, 0 for none.
     declared: u64,
-    /// When an entry was asked for a newer declaration.
+    /// When a newer declaration was last requested from an entry.
     declaration_requested_at: Option<Instant>,
     failed_reads: u32,
     published_inventory: Option<Holds>,
@@ -265,7 +268,7 @@
                     self.fence = Some(token);
                 }
                 Ok(()) = reloads.changed() => {
-                    // The other settings hold from the next start on.
+                    // The other settings take effect at the next start.
                     let new = reloads.borrow_and_update().clone();
                     self.store = Store::new(new.store);
                     Line::new("settings").show("store", new.store).write();
@@ -308,7 +311,7 @@
                     Line::failure("engine.restarted")
                         .num("started_ms", started)
                         .write();
-                    // It has read no prompts yet.
+                    // A restarted engine has no prompts cached.
                     self.prefills.clear();
                 }
             }
@@ -322,7 +325,7 @@
         }
     }
 
-    /// Gives orders until there is none to give, and answers what can be answered.
+    /// Sends orders until none is due, and the outcomes of load requests that are known.
     async fn execute_orders(&mut self) {
         loop {
             let control = self.fence.is_some() && self.incarnation.is_some();
@@ -341,7 +344,7 @@
         }
     }
 
-    /// Gives one order, and tells whether to go on at once.
+    /// Sends one order. Returns whether the next one may follow at once.
     async fn order(&mut self, planned: &PlannedOrder) -> bool {
         let (Some(fence), Some((instance, _))) = (self.fence, self.incarnation.clone()) else {
             return false;
@@ -406,7 +409,7 @@
                 seq: id.seq,
                 outcome,
             };
-            // An entry that does not read has given up on its question too.
+            // An entry that does not read its messages has given up the load request too.
             link.map(|l| l.tx.try_send(done));
         }
     }
@@ -419,7 +422,7 @@
             loop {
                 match fence::raise(&store, &vm).await {
                     Ok(token) => {
-                        // The agent is stopping when this fails.
+                        // Fails only while the agent is stopping.
                         let _ = tx.send(token).await;
                         return;
                     }
@@ -434,6 +437,6 @@
 }
 
 async fn stopped(stop: &mut watch::Receiver<bool>) {
-    // The sender lives as long as the process.
+    // An error means that the sender was dropped, which happens only when the process stops.
     let _ = stop.wait_for(|s| *s).await;
 }
--- a/crates/stair-sidecar/src/process/dump.rs
+++ b/crates/stair-sidecar/src/process/dump.rs
@@ -1,4 +1,4 @@
-//! The state of an agent as the operator sees it.
+//! The state of an agent as operators see it.
 
 use std::net::SocketAddr;
 
@@ -16,38 +16,38 @@
 
 use super::Agent;
 
-/// Everything that an agent knows and is doing. Times are in milliseconds.
+/// The state of an agent. Times are in milliseconds.
 #[derive(Debug, Clone, Serialize)]
 pub struct Dump {
     name: Box<str>,
     up_ms: u64,
     engine: SocketAddr,
-    /// The engine's present life, and the store's revision that says so.
+    /// The engine's present incarnation, and the store revision that states it.
     #[serde(rename = "instance")]
     incarnation: Option<(Box<str>, u64)>,
-    /// The last life that the engine said it is not.
+    /// The last incarnation that the engine has rejected as stale.
     #[serde(rename = "former")]
     stale_incarnation: Option<Box<str>>,
-    /// The fencing token that orders bear.
+    /// The fencing token that orders carry.
     fence: Option<u64>,
     /// The version of the catalogue that declared the engine, 0 for none.
     declared: u64,
-    /// Readings that failed in a row.
+    /// Successive failed readings of the engine.
     #[serde(rename = "misses")]
     failed_reads: u32,
     #[serde(rename = "holds")]
     inventory: Holds,
     load: Load,
-    /// How fast the engine reads prompts, as far as they have told.
+    /// Prefill rates of the engine, as estimated from the entries' reports.
     rates: Vec<Rate>,
-    /// Load requests that wait, prefetches among them.
+    /// Open load requests, including prefetches.
     load_requests: usize,
-    /// What is left of the allowances that are counted here.
+    /// State of the quotas that are counted by this agent.
     #[serde(rename = "allowances")]
     quotas: Ledger,
-    /// Requests that are blamed for the ends of targets.
+    /// Requests that are suspected of crashing targets.
     quarantine: Vec<quarantine::Record>,
-    /// Entries that are linked, with how far each one's knowledge goes.
+    /// The replication state of each connected entry, null before its first message.
     entries: Vec<Option<ReplicationState>>,
 }
 
--- a/crates/stair-sidecar/src/process/publish.rs
+++ b/crates/stair-sidecar/src/process/publish.rs
@@ -1,4 +1,4 @@
-//! What the agent tells entries: what its engine holds, how busy it is, and who is ahead of whom.
+//! Sends reports to entries: the engine's inventory, its load, and the other entries' state.
 
 use std::time::Duration;
 
@@ -20,22 +20,22 @@
 use super::Agent;
 use crate::usage::LinkKey;
 
-/// Pause between reports without a change; entries take three missed ones for a dead agent.
+/// Pause between reports without a change. After three missed ones, entries regard the agent as dead.
 const REPORT_INTERVAL: Duration = Duration::from_millis(900);
 
-/// Time for an entry to answer what its agent asks of it; after that another one is asked.
+/// Time for an entry to send the declaration; after that another entry is asked for it.
 const DECLARE_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// Pause between reports of changed load alone.
+/// Least pause between reports when only the amount of work has changed.
 const LOAD_INTERVAL: Duration = Duration::from_millis(200);
 
-/// The same for each link: with thirty entries a change is told every 600 ms, so that telling does not take
-/// more of the VM than ordering.
+/// The same pause for each link. With thirty entries a change is reported every 600 ms, so that reports
+/// do not take more of the VM's processor time than orders.
 const LOAD_INTERVAL_PER_LINK: Duration = Duration::from_millis(20);
 
 impl Agent {
-    /// Tells entries of the others when the least name, their number or who watches the store for them
-    /// changes.
+    /// Reports the other entries to each entry when the least name, the number of entries or the entry
+    /// that watches the store for them has changed.
     pub(super) fn publish_peers(&mut self) {
         let fleet = Fleet::of(&self.replication_states());
         for link in &mut self.links {
@@ -43,8 +43,8 @@
             let peers = fleet.peers(own);
             if link.published_peers.as_ref() != Some(&peers) {
                 let sent = link.tx.try_send(ToEntry::Peers(Box::new(peers.clone())));
-                // A full queue belongs to an entry that reads slowly. It is told again: one that never hears
-                // who watches would watch by itself for as long as it runs.
+                // The queue of an entry that reads slowly is full. The report is repeated: an entry
+                // that does not know the watcher would watch the store itself for as long as it runs.
                 if sent.is_ok() {
                     link.published_peers = Some(peers);
                 }
@@ -52,25 +52,27 @@
         }
     }
 
-    /// Tells an entry that lags who is ahead of it.
+    /// Sends a lagging entry the entries with a newer state.
     pub(super) fn publish_newer_peers(&self, key: LinkKey) {
         let link = self.links.iter().find(|l| l.key == key);
         let Some((link, own)) = link.and_then(|l| Some((l, l.known.as_ref()?))) else {
             return;
         };
         let peers = Peers::of(own, &self.replication_states());
-        // A full queue belongs to an entry that reads slowly; its next word has it told again.
+        // The queue of an entry that reads slowly is full; its next message repeats this.
         let _ = link.tx.try_send(ToEntry::Peers(Box::new(peers)));
     }
 
-    /// Asks an entry that knows a newer declaration for it, unless another one has been asked just now.
+    /// Requests a newer declaration from an entry that has one, unless a request to another entry is
+    /// still open.
     pub(super) fn request_declaration(&mut self, key: LinkKey) {
         let due = |at: Instant| at.elapsed() >= DECLARE_TIMEOUT;
         if !self.declaration_requested_at.is_none_or(due) {
             return;
         }
         let link = self.links.iter().find(|l| l.key == key);
-        // A full queue belongs to an entry that does not read; the next one that speaks is asked.
+        // The queue of an entry that does not read is full; the next entry with a newer declaration
+        // is asked for it.
         if link.is_some_and(|l| l.tx.try_send(ToEntry::Declare).is_ok()) {
             self.declaration_requested_at = Some(Instant::now());
         }
@@ -80,7 +82,8 @@
         self.links.iter().filter_map(|l| l.known.clone()).collect()
     }
 
-    /// Tells what is new, or the load as a heartbeat.
+    /// Sends the inventory and the load to all entries if they have changed, and the load as a
+    /// heartbeat.
     pub(super) fn publish(&mut self) {
         let holds = self.controller.inventory();
         if self.published_inventory.as_ref() != Some(&holds) {
@@ -136,7 +139,7 @@
             || (at.elapsed() >= pause && work(last) != work(load))
     }
 
-    /// Tells one entry all that there is.
+    /// Sends one entry the whole state.
     pub(super) fn publish_all(&self, key: LinkKey) {
         let Some(link) = self.links.iter().find(|l| l.key == key) else {
             return;
@@ -154,15 +157,15 @@
     pub(super) fn broadcast(&self, msg: &ToEntry) {
         for link in &self.links {
             if link.tx.try_send(msg.clone()).is_err() {
-                // The entry does not read. Its link ends by itself, and the next one begins with
-                // all of it.
+                // The entry does not read. Its link times out, and the next one begins with the
+                // whole state.
                 self.page.count("untold_total", &[], 1);
             }
         }
     }
 }
 
-/// Says what the engine holds from now on.
+/// Logs the new inventory of the engine.
 fn log_inventory(holds: &Holds) {
     let models = holds.models.iter().map(|h| match h.adapters.len() {
         0 => h.name.to_string(),
--- a/crates/stair-sidecar/src/process/receive.rs
+++ b/crates/stair-sidecar/src/process/receive.rs
@@ -1,4 +1,4 @@
-//! What the agent hears from entries, and which life of its engine it believes in.
+//! Handles the messages of entries, and tracks the engine's present incarnation.
 
 use stair_fleet::{
     msg::{
@@ -36,7 +36,7 @@
                 self.controller.disconnected(key);
             }
             Event::Message(key, msg) => self.receive(key, msg),
-            // Whoever asked may have gone.
+            // Fails when the operator's connection has ended.
             Event::Dump(tx) => drop(tx.send(self.dump())),
         }
     }
@@ -65,13 +65,13 @@
                 self.declaration_requested_at = None;
                 self.controller.declare(engine);
             }
-            // An entry that lags sends what is no longer in force.
+            // A lagging entry sends a declaration that is no longer in force.
             ToAgent::Engine { .. } => {}
             ToAgent::Instance { id, revision } => {
                 self.update_incarnation(id, revision);
-                // The entry begins with this life and knows nothing of what it holds: what was told
-                // before it knew of this life counted for the one before, and a model on the disk
-                // would be fetched from the weight store.
+                // The entry has just learnt of this incarnation and has no inventory for it: earlier
+                // reports counted for the previous one. Without the report, a model on the engine's
+                // disk would be loaded from the weight store.
                 self.publish_all(key);
             }
             ToAgent::Former(id) => self.receive_stale_incarnation(id),
@@ -96,28 +96,28 @@
                     self.prefills
                         .ask(&ask, self.controller.memory_tokens(), now)
                 };
-                // One that asks again has been counted.
+                // A repeated request has been counted already.
                 if answer.booked || ask.first {
                     let work = self.prefills.work(&ask, answer.kept);
                     self.controller
                         .record_prompt(&ask.model, answer.booked, work, now);
                 }
                 let link = self.links.iter().find(|l| l.key == key);
-                // An entry that does not read goes without its slot.
+                // An entry that does not read gets no slot.
                 link.map(|l| l.tx.try_send(ToEntry::Prefill { seq, answer }));
             }
             ToAgent::Unserved(model) => self.controller.record_unserved(&model, now),
             ToAgent::Used(list) => self.controller.record_use(key, &list, now),
             ToAgent::Read(list) => list.iter().for_each(|r| self.prefills.learn(r)),
-            // Answered by the link itself.
+            // Handled by the link.
             ToAgent::Allow { .. } | ToAgent::GiveBack { .. } | ToAgent::Quarantine(_) => {}
         }
     }
 
-    /// Takes in that the engine has said it is not this life, to an entry or to this agent.
+    /// Records that the engine has rejected `id` as stale, to an entry or to this agent.
     ///
-    /// The refusal need not name the present life. Until that is known, entries are told that the engine takes no
-    /// orders.
+    /// The rejection need not state the present incarnation. Until that is known, load requests end
+    /// with [`NoControl`](stair_fleet::msg::Outcome::NoControl).
     pub(super) fn receive_stale_incarnation(&mut self, id: Box<str>) {
         if self.stale_incarnation.as_ref() == Some(&id) {
             return;
@@ -131,7 +131,7 @@
     }
 
     pub(super) fn update_incarnation(&mut self, id: Box<str>, revision: u64) {
-        // An entry that lags still names the life before.
+        // A lagging entry still states the previous incarnation.
         if self.stale_incarnation.as_ref() == Some(&id) {
             return;
         }
--- a/crates/stair-sidecar/src/quarantine.rs
+++ b/crates/stair-sidecar/src/quarantine.rs
@@ -1,6 +1,6 @@
-//! Keeps the ledger of requests that end the targets that run them, for all entries.
+//! Maintains the ledger of requests that crash the targets that run them, for all entries.
 //!
-//! Entries report to a few agents; see [`quarantine`](stair_fleet::quarantine) for what follows from their reports.
+//! Entries report to a few agents; see [`quarantine`](stair_fleet::quarantine) for the rules of the ledger.
 
 use std::{
     sync::{
@@ -37,7 +37,7 @@
 
 use crate::usage::LinkKey;
 
-/// The ledger of this agent.
+/// The ledger of this agent, and the links that its notices go to.
 pub struct Quarantine {
     started: Instant,
     page: Arc<Page>,
@@ -51,7 +51,7 @@
 }
 
 impl Quarantine {
-    /// Makes it with nothing known.
+    /// Creates an empty ledger; new standings are counted on `page`.
     pub fn new(page: Arc<Page>) -> Self {
         Self {
             started: Instant::now(),
@@ -60,7 +60,7 @@
         }
     }
 
-    /// Tells an entry all that is known, and from then on what is new.
+    /// Sends an entry all notices, and from then on the new ones.
     pub fn opened(&self, key: LinkKey, tx: mpsc::Sender<ToEntry>) {
         let now = self.now();
         let mut inner = self.lock();
@@ -71,7 +71,7 @@
         inner.links.push((key, tx));
     }
 
-    /// Takes in that the link of an entry has ended.
+    /// Removes the link of an entry that has ended. The ledger ends the entry's trials soon after.
     pub fn closed(&self, key: LinkKey) {
         let now = self.now();
         let mut inner = self.lock();
@@ -79,7 +79,7 @@
         inner.ledger.owner_gone(key.0, now);
     }
 
-    /// Takes in what an entry says; `tx` goes to that entry.
+    /// Handles a message of an entry; `tx` sends to that entry.
     pub fn receive(self: &Arc<Self>, key: LinkKey, msg: ToLedger, tx: &mpsc::Sender<ToEntry>) {
         let now = self.now();
         match msg {
@@ -117,14 +117,14 @@
                 let mut inner = self.lock();
                 let granted = inner.ledger.begin_trial(fingerprint, &target, key.0, now);
                 let reply = ToEntry::Quarantine(ToWatchlist::Trial { seq, granted });
-                // An entry that does not read runs the request without the answer.
+                // An entry that does not read runs the request without the reply.
                 let _ = tx.try_send(reply);
             }
             ToLedger::TrialEnded(fingerprint) => self.lock().ledger.end_trial(fingerprint, now),
         }
     }
 
-    /// The ledger as it is now.
+    /// Returns a copy of the ledger.
     pub fn ledger(&self) -> Ledger {
         self.lock().ledger.clone()
     }
@@ -160,7 +160,7 @@
 
     fn send(&self, tx: &mpsc::Sender<ToEntry>, list: &[Notice]) {
         let msg = ToEntry::Quarantine(ToWatchlist::Known(list.to_vec()));
-        // An entry that does not read is told all when its next link begins.
+        // An entry that does not read receives all notices when its next link begins.
         if tx.try_send(msg).is_err() {
             self.page.count("untold_total", &[], 1);
         }
--- a/crates/stair-sidecar/src/quotas.rs
+++ b/crates/stair-sidecar/src/quotas.rs
@@ -1,7 +1,7 @@
-//! Counts the allowances of workspaces for all entries.
+//! Counts the quotas of workspaces for all entries.
 //!
-//! Which agent counts a workspace is the entries' choice; see [`allowance`](stair_fleet::allowance) for what
-//! holds when they do not agree.
+//! Entries choose the agent that counts a workspace; see [`allowance`](stair_fleet::allowance) for the
+//! limits that hold while they disagree.
 
 use std::{
     sync::{
@@ -25,7 +25,7 @@
 };
 use tokio::time::Instant;
 
-/// The allowances that this agent counts.
+/// The quotas that this agent counts.
 pub struct Quotas {
     started: Instant,
     page: Arc<Page>,
@@ -33,7 +33,7 @@
 }
 
 impl Quotas {
-    /// Makes it with nothing counted yet.
+    /// Creates an empty ledger; outcomes are counted on `page`.
     pub fn new(page: Arc<Page>) -> Self {
         Self {
             started: Instant::now(),
@@ -42,7 +42,8 @@
         }
     }
 
-    /// Answers an entry.
+    /// Charges a request of a workspace to its quota, and returns whether it was granted. Logs when the
+    /// workspace exceeds its quota or is within it again.
     pub fn request(&self, ask: &Ask) -> Answer {
         let now = self.now();
         let (reply, crossing) = self.lock().ask(ask, now);
@@ -66,13 +67,13 @@
         reply
     }
 
-    /// Gives back what a request has cost that was not run.
+    /// Refunds the cost of a request that was not run.
     pub fn refund(&self, workspace: &str, cost: f64) {
         let now = self.now();
         self.lock().give_back(workspace, cost, now);
     }
 
-    /// What is left of each.
+    /// Returns a copy of the ledger.
     pub fn ledger(&self) -> Ledger {
         self.lock().clone()
     }
--- a/crates/stair-sidecar/src/usage.rs
+++ b/crates/stair-sidecar/src/usage.rs
@@ -1,4 +1,4 @@
-//! How much each model and adapter is used, by all entries.
+//! Tracks the use of each model and adapter by all entries.
 
 use std::time::Duration;
 
@@ -7,11 +7,12 @@
     Used,
 };
 
-/// Time constant of the request rates, in seconds: demand moves between models within six.
+/// Time constant of the request rates, in seconds. Demand moves between models within six seconds.
 const RATE_TIME_CONSTANT_S: f64 = 1.8;
 
-/// Time for which a model or adapter that was asked for is not dropped for another. The request
-/// that asked is on its way; dropping the model under it would have both load in turn for ever.
+/// Time after a request during which a model or adapter is not evicted for another. The client's
+/// request is still on its way; if its model were evicted meanwhile, two models would replace each
+/// other forever.
 const EVICTION_HOLD_DURATION: Duration = Duration::from_millis(600);
 
 /// One connection of an entry.
@@ -19,7 +20,7 @@
 pub struct LinkKey(pub u64);
 
 impl LinkKey {
-    /// No connection: the agent itself.
+    /// The agent itself, which has no connection.
     pub const AGENT: Self = Self(0);
 }
 
@@ -27,16 +28,17 @@
 struct UsageEntry {
     name: Box<str>,
     per_s: f64,
-    /// Part of the engine's time that it took lately.
+    /// Decaying average of the fraction of the engine's time that its prefills take.
     work: f64,
+    /// When the averages were last updated.
     at: Duration,
-    /// In flight by connection.
+    /// Requests in flight by connection.
     in_flight: Vec<(LinkKey, u32)>,
-    /// When it was last asked for.
+    /// Time of the last request.
     requested: Option<Duration>,
 }
 
-/// Use of all of them.
+/// Use of all models and adapters.
 #[derive(Default)]
 pub struct Usage {
     /// Sorted by name.
@@ -44,17 +46,17 @@
 }
 
 impl Usage {
-    /// Notes that a model, and its adapter if the load request names one, was asked for.
+    /// Records a load request for a model, and for its adapter if the request names one.
     pub fn record_request(&mut self, req: &LoadRequest, now: Duration) {
         self.entry(&req.model, now).requested = Some(now);
         let name = key(&req.model, req.adapter.as_deref());
         self.entry(&name, now).requested = Some(now);
     }
 
-    /// Notes a prompt that takes so much of the engine's time, and whether it has its slot.
+    /// Records a prompt whose prefill takes `work` of the engine's time, and whether it was admitted.
     ///
-    /// A rejected prompt counts as demand, or a saturated model would get no further replica. An admitted one is on
-    /// its way, and its model is not evicted under it.
+    /// A rejected prompt counts as demand, or a saturated model would get no further replica. An
+    /// admitted one is on its way, so it renews the eviction hold of its model.
     pub fn record_prompt(&mut self, model: &str, admitted: bool, work: Duration, now: Duration) {
         let entry = self.entry(model, now);
         entry.work += work.as_secs_f64() / RATE_TIME_CONSTANT_S;
@@ -65,7 +67,7 @@
         }
     }
 
-    /// Takes in what an entry has sent.
+    /// Records what an entry has sent and what it has in flight.
     pub fn take(&mut self, link: LinkKey, list: &[Used], now: Duration) {
         for used in list {
             let entry = self.entry(&used.model, now);
@@ -77,24 +79,25 @@
         }
     }
 
-    /// Counts a request for a model.
+    /// Adds one request to the rate of a model.
     pub fn count(&mut self, model: &str, now: Duration) {
         self.entry(model, now).per_s += 1.0 / RATE_TIME_CONSTANT_S;
     }
 
-    /// Requests a second lately for each name.
+    /// The names of all models and adapters, each with its requests per second.
     pub fn rates(&self, now: Duration) -> impl Iterator<Item = (&str, f64)> {
         self.list.iter().map(move |u| (&*u.name, u.rate(now)))
     }
 
-    /// Forgets a connection.
+    /// Drops the requests in flight of a connection.
     pub fn remove_link(&mut self, link: LinkKey) {
         for entry in &mut self.list {
             entry.in_flight.retain(|(l, _)| *l != link);
         }
     }
 
-    /// Whether neither it nor, for a model, one of its adapters was asked for a moment ago.
+    /// Whether the last request for `name`, or for an adapter of the model `name`, is long enough ago
+    /// for an eviction.
     pub fn eviction_hold_elapsed(&self, name: &str, now: Duration) -> bool {
         let prefix = format!("{name}/");
         self.list
@@ -104,23 +107,23 @@
             .all(|at| now.saturating_sub(at) > EVICTION_HOLD_DURATION)
     }
 
-    /// When it was last asked for.
+    /// Time of the last request.
     pub fn last_request(&self, name: &str) -> Option<Duration> {
         self.find(name)?.requested
     }
 
-    /// Requests in flight.
+    /// Requests in flight, of all connections.
     pub fn in_flight(&self, name: &str) -> u32 {
         let found = self.find(name);
         found.map_or(0, |u| u.in_flight.iter().map(|(_, n)| n).sum())
     }
 
-    /// Requests a second lately.
+    /// Requests per second, as a decaying average.
     pub fn rate(&self, name: &str, now: Duration) -> f64 {
         self.find(name).map_or(0.0, |u| u.rate(now))
     }
 
-    /// Part of the engine's time that it took lately.
+    /// Fraction of the engine's time that prefills take, as a decaying average.
     pub fn work(&self, name: &str, now: Duration) -> f64 {
         self.find(name).map_or(0.0, |u| u.work * u.decay(now))
     }
@@ -159,14 +162,14 @@
         self.per_s * self.decay(now)
     }
 
-    /// Part of the averages that is left of what they were.
+    /// Factor by which the averages have decayed since their last update.
     fn decay(&self, now: Duration) -> f64 {
         let passed = now.saturating_sub(self.at).as_secs_f64();
         (-passed / RATE_TIME_CONSTANT_S).exp()
     }
 }
 
-/// The name of a model, or of its adapter.
+/// Returns the key of a model, `MODEL`, or of its adapter, `MODEL/NAME`.
 pub fn key(model: &str, adapter: Option<&str>) -> Box<str> {
     match adapter {
         None => model.into(),
--- a/crates/stair-sidecar/tests/controller.rs
+++ b/crates/stair-sidecar/tests/controller.rs
@@ -1,4 +1,4 @@
-//! What the agent orders next, and what it answers.
+//! The controller's next order and the outcomes of load requests.
 
 use std::time::Duration;
 
@@ -36,7 +36,7 @@
     Duration::from_millis(ms)
 }
 
-/// Models of 60 GB in an engine of 140 GB with two places for adapters.
+/// Models of 60 GB in an engine of 140 GB with two adapter slots.
 fn decl() -> Engine {
     let model = |name: &str| Model {
         name: name.into(),
@@ -119,9 +119,9 @@
     assert_eq!(
         first,
         Some(planned(false, "b", None, 1)),
-        "the idle one goes"
+        "the idle model is evicted"
     );
-    let first = first.expect("a step");
+    let first = first.expect("an order");
     ctl.replied(&first, Some(Reply::Accepted), ms(2000));
     assert_eq!(next(&mut ctl, ms(2010)), None, "one order at a time");
     ctl.read(Some(reading(2, &[("a", &[])])), ms(2100));
@@ -139,9 +139,8 @@
     }
 }
 
-/// Requests for two models take turns at an engine with room for neither beside the other. If a
-/// model were dropped as soon as it is there, both would load in turn and none of the requests that
-/// waited would run.
+/// Requests alternate between more models than fit. If a model were evicted as soon as it is loaded, the
+/// models would replace each other and none of the waiting requests would run.
 #[test]
 fn eviction_hold_after_a_request() {
     let mut ctl = controller(&[("a", &[]), ("b", &[])]);
@@ -155,8 +154,8 @@
     assert!(next(&mut ctl, ms(6000)).is_some());
 }
 
-/// An engine takes no order of any kind while a model comes or goes. Ordering an adapter meanwhile
-/// was refused hundreds of times a second, each a priced call.
+/// An engine accepts no order while it loads or unloads a model. Without the check, adapter orders are
+/// refused hundreds of times a second, and each is a priced call.
 #[test]
 fn nothing_while_busy() {
     let mut ctl = controller(&[("a", &[])]);
@@ -176,17 +175,17 @@
     );
 }
 
-/// An adapter that is still in use makes way only when its requests have ended. Ordered away again
-/// and again, or another one with it, the engine would lose more than it has to.
+/// An adapter in use is unloaded only when its requests have ended. If the order were repeated, or
+/// another adapter unloaded meanwhile, the engine would lose more adapters than needed.
 #[test]
 fn one_adapter_unload_at_a_time() {
     let mut ctl = controller(&[("a", &["x", "y"])]);
     ctl.request_load(id(1), req("a", Some("z")), ms(0));
-    let drop = next(&mut ctl, ms(0)).expect("room is made");
+    let drop = next(&mut ctl, ms(0)).expect("an unload");
     assert!(!drop.load && drop.adapter.is_some());
     ctl.replied(&drop, Some(Reply::Accepted), ms(0));
     ctl.read(Some(reading(2, &[("a", &["x", "y"])])), ms(40));
-    assert_eq!(next(&mut ctl, ms(40)), None, "it is on its way out");
+    assert_eq!(next(&mut ctl, ms(40)), None, "the adapter is unloading");
     ctl.read(Some(reading(2, &[("a", &["y"])])), ms(80));
     assert_eq!(
         next(&mut ctl, ms(80)),
@@ -194,7 +193,7 @@
     );
 }
 
-/// The engine refuses since another order came first. Asking again at once would be refused again.
+/// The engine refuses an order because of a concurrent one. An immediate retry would be refused again.
 #[test]
 fn pause_after_conflict() {
     let mut ctl = controller(&[("a", &[])]);
@@ -205,8 +204,8 @@
     assert!(next(&mut ctl, ms(200)).is_some());
 }
 
-/// The answer to an order is lost. The same order is given again, planned on the same state, so
-/// that the engine carries out one of the two at most.
+/// The reply to an order is lost. The repeated order names the same sequence, so that the engine
+/// carries out at most one of the two.
 #[test]
 fn same_order_after_a_lost_reply() {
     let mut ctl = controller(&[("a", &[])]);
@@ -216,7 +215,7 @@
     assert_eq!(next(&mut ctl, ms(400)), Some(first));
 }
 
-/// Without a fencing token the agent may not order; whoever asks is told so at once.
+/// Without a fencing token the agent may not send orders; load requests end at once.
 #[test]
 fn no_control() {
     let mut ctl = controller(&[("a", &[])]);
@@ -227,7 +226,7 @@
     assert!(resolved.contains(&(id(2), Outcome::Ready)));
 }
 
-/// Only the weight store has the model and the entry has not allowed a load from there.
+/// Only the weight store has the model, and the load request does not permit a load from there.
 #[test]
 fn store_load_needs_permission() {
     let mut ctl = controller(&[("a", &[])]);
@@ -235,7 +234,7 @@
     assert_eq!(ctl.resolve(true, ms(0)), vec![(id(1), Outcome::StoreBusy)]);
 }
 
-/// A load request that no client waits for stands behind one that a request waits for.
+/// A prefetch is served after a load request that a client waits for.
 #[test]
 fn request_before_prefetch() {
     let mut ctl = controller(&[("a", &[])]);
@@ -250,7 +249,7 @@
     assert_eq!(ctl.load(ms(1)).to_load, ms(1600));
 }
 
-/// An entry's link is gone: nobody waits for its load requests, and its requests count no more.
+/// When an entry disconnects, its load requests are dropped and its requests in flight no longer count.
 #[test]
 fn disconnect_drops_requests() {
     let mut ctl = controller(&[("a", &[])]);
@@ -262,8 +261,8 @@
     assert!(load.usage.iter().all(|u| u.in_flight == 0));
 }
 
-/// A model's only replica is crowded: of ten prompts a second it lets four through, the others are
-/// refused. What is told as its use has to show all ten, or no further replica is made.
+/// A model's only replica is saturated: of ten prompts a second it admits four and refuses six. The
+/// reported use has to include all ten, or no further replica is added.
 #[test]
 fn refused_prompts_are_demand() {
     let mut ctl = controller(&[("m1", &[])]);
@@ -287,7 +286,7 @@
     assert!((7.0..13.0).contains(&per_s), "{per_s}");
 }
 
-/// A controller whose engine has no copy of model "d", which has been asked for beside two other loads.
+/// A controller whose engine loads model "d" from the weight store, as one of three concurrent loads.
 fn controller_with_store_load(opts: Options) -> Controller {
     let mut ctl = Controller::new(opts);
     ctl.declare(decl());
@@ -305,13 +304,13 @@
     ctl
 }
 
-/// Loads that run together slow each other down at the weight store, which nobody can tell but those
-/// whose loads take longer than declared.
+/// Concurrent loads from the weight store slow each other down. Only the duration of loads, compared
+/// with the declared one, shows it, so agents report that.
 #[test]
 fn reports_store_load_duration() {
     let mut ctl = controller_with_store_load(Options::default());
     let load = ctl.load(ms(9000));
-    let times = load.loading.expect("under way").times;
+    let times = load.loading.expect("loading").times;
     assert!((1.49..1.51).contains(&times), "{times}");
     assert_eq!(load.fetched, None);
     ctl.read(Some(reading(3, &[("d", &[])])), ms(12_000));
@@ -320,12 +319,12 @@
         times: 2.0,
     };
     assert_eq!(ctl.load(ms(12_000)).fetched, Some(took));
-    assert_eq!(ctl.load(ms(200_000)).fetched, None, "others use it too");
+    assert_eq!(ctl.load(ms(200_000)).fetched, None, "expired");
 }
 
-/// The engine crashes in a load and comes back at once. Its models are fetched anew; were each crash
-/// followed by a load, an engine that crashes again and again would use up what the weight store
-/// allows to all.
+/// The engine crashes during a load and restarts at once. If each crash were followed by another load
+/// from the weight store, an engine that keeps crashing would use up the store's load rate of all
+/// engines.
 #[test]
 fn one_store_load_per_window() {
     let opts = Options {
@@ -346,9 +345,9 @@
     assert_eq!(next(&mut ctl, ms(5000)), Some(planned(true, "d", None, 1)));
 }
 
-/// An engine crashes in a load from the weight store and does not come back. Were the load told on,
-/// it would count as one of the few that run at once, ever later, and models that requests wait for
-/// would not be fetched.
+/// An engine crashes during a load from the weight store and does not restart. If the load were still
+/// reported, it would occupy one of the few load slots, and models that requests wait for would not be
+/// loaded.
 #[test]
 fn crash_ends_a_store_load() {
     let mut ctl = controller_with_store_load(Options::default());
@@ -358,9 +357,9 @@
     assert_eq!((load.loading, load.fetched), (None, None));
 }
 
-/// An engine loses the answer to a load and starts again under its id. Its count of orders begins anew,
-/// and the lost load can still be carried out where the count fits. Two models of 60 GB beside it would
-/// be more than the engine holds, and it would crash.
+/// The reply to a load is lost and the engine restarts under the same id. Its sequence starts again, so
+/// the load may still be carried out when the sequence matches. With two other models of 60 GB loaded,
+/// it would exceed the engine's memory, and the engine would crash.
 #[test]
 fn late_load_after_restart() {
     let mut ctl = controller(&[("a", &[])]);
@@ -376,16 +375,16 @@
     ctl.disconnected(LinkKey(1));
     ctl.read(Some(started_reading(20, 1, &[("a", &[])])), ms(500));
     ctl.request_load(id(2), req("c", None), ms(500));
-    // With "a" there and "b" perhaps to come, "a" has to make way first.
+    // With "a" loaded and the load of "b" unconfirmed, "a" has to be unloaded first.
     assert_eq!(next(&mut ctl, ms(1500)), Some(planned(false, "a", None, 1)));
-    // Once the count is past it, the lost load is refused by the engine.
+    // Once its sequence is higher, the engine refuses the lost load.
     ctl.read(Some(started_reading(20, 2, &[("a", &[])])), ms(1600));
     assert_eq!(next(&mut ctl, ms(1600)), Some(planned(true, "c", None, 2)));
 }
 
-/// What has to make way has a stream in flight, and an engine takes no order until a model that it
-/// unloads has run all its streams. Requests for adapters of a busy model beside it would wait for that.
-/// So the model gets no new requests first, and goes when its stream has ended.
+/// The victim has a stream in flight, and an engine accepts no order until all streams of a model that
+/// it unloads have ended. Adapter requests for another busy model would wait for that. So the victim
+/// first gets no new requests, and is unloaded when its stream has ended.
 #[test]
 fn no_new_requests_before_unload() {
     let mut ctl = controller(&[("a", &[]), ("b", &[])]);
@@ -406,8 +405,8 @@
     assert_eq!(next(&mut ctl, ms(1500)), Some(planned(false, "a", None, 1)));
 }
 
-/// The request that a model was to make way for has found its model elsewhere. The load that nobody
-/// waits for any more would push out what is in use.
+/// A request whose model was to be loaded is served by another engine. If the load were not cancelled,
+/// it would evict a model in use although no request waits for it.
 #[test]
 fn cancel_stops_eviction() {
     let mut ctl = controller(&[("a", &[]), ("b", &[])]);
@@ -421,8 +420,8 @@
     assert!(!ctl.is_evicting("a") && !ctl.has_load_requests());
 }
 
-/// Many requests wait for one model and one for another that was asked for before it. One after the
-/// other, the many wait for the load of the one as well.
+/// Several requests wait for one model, and an older one for another. In the order of age, all of them
+/// would wait for the other model's load as well.
 #[test]
 fn most_requests_first() {
     let mut ctl = controller(&[]);
@@ -433,9 +432,9 @@
     assert_eq!(next(&mut ctl, ms(10)), Some(planned(true, "b", None, 1)));
 }
 
-/// An engine refuses an order by its fencing token and starts again before it is read. What was read of it
-/// is dropped with the refusal; were its start dropped as well, nobody would notice the restart, and a
-/// load that the life before left unanswered could come on top of a full engine.
+/// An engine refuses an order by its fencing token and restarts before the next reading. The refusal drops
+/// the last reading. If it dropped the start time as well, the restart would go unnoticed, and an
+/// unconfirmed load of the previous incarnation could exceed the memory of a full engine.
 #[test]
 fn restart_after_a_fenced_order() {
     let mut ctl = controller(&[]);
@@ -454,9 +453,9 @@
     assert_eq!(next(&mut ctl, ms(1500)), Some(planned(false, "a", None, 3)));
 }
 
-/// An engine crashes with the only replica of a busy model and comes back empty, with its disk. Entries ask it
-/// for models again when the list has its new life, seconds later, and first for whichever request comes
-/// first. All that time the busy model's requests are refused.
+/// An engine with the only replica of a busy model crashes and restarts with nothing loaded but copies on
+/// its disk. Entries request models again only when the platform's list has the new incarnation, seconds
+/// later, and in the order in which requests arrive. Until then the busy model's requests are refused.
 #[test]
 fn restores_used_models() {
     let mut ctl = controller(&[("a", &[]), ("b", &[])]);
@@ -466,7 +465,7 @@
     ctl.read(Some(reading(0, &[])), ms(4000));
     assert!(
         ctl.resolve(false, ms(4000)).is_empty(),
-        "it waits for a life"
+        "waits for the new incarnation"
     );
     let first = next(&mut ctl, ms(4000)).expect("a load");
     assert_eq!(first, planned(true, "b", None, 0), "the busier one first");
@@ -476,7 +475,7 @@
     assert_eq!(next(&mut ctl, ms(4800)), Some(planned(true, "a", None, 1)));
 }
 
-/// What requests ask for meanwhile goes first, and nothing makes way for what was there before.
+/// After a restart, load requests of entries go before restored models, which evict nothing.
 #[test]
 fn requests_before_restore() {
     let mut ctl = controller(&[("a", &[]), ("b", &[])]);
@@ -495,5 +494,5 @@
     ctl.read(Some(reading(2, &[("a", &[]), ("c", &[])])), ms(5600));
     ctl.resolve(true, ms(5600));
     assert_eq!(next(&mut ctl, ms(5600)), None);
-    assert!(!ctl.has_load_requests(), "there is no room for the rest");
+    assert!(!ctl.has_load_requests(), "no capacity for the rest");
 }
--- a/crates/stair-sidecar/tests/load.rs
+++ b/crates/stair-sidecar/tests/load.rs
@@ -1,7 +1,7 @@
-//! The load that swapping answers, played without a network: what clients get.
+//! Simulates a fleet that swaps models under changing demand, and measures what clients get.
 //!
-//! Engines, their agents' desks and the entries' views are the real decisions; only the engines' own
-//! work and the messages between them are played, in steps of 20 ms.
+//! The agents' controllers and the entries' views are the real ones. The engines and the messages are
+//! simulated, in steps of 20 ms.
 
 use std::time::Duration;
 
@@ -48,18 +48,18 @@
 const ENGINES: usize = 8;
 const ENTRIES: usize = 3;
 const TICK: Duration = Duration::from_millis(20);
-/// Age that reports and words of what was sent reach.
+/// Interval of reports, in ticks: the greatest age of a report.
 const REPORT_TICKS: u32 = 12;
-/// How long a client waits for its first event.
+/// Time that a client waits for its first event.
 const CLIENT_TIMEOUT: Duration = Duration::from_secs(8);
-/// What clients are promised.
+/// Objective for the time to the first event.
 const OBJECTIVE: Duration = Duration::from_secs(2);
 
 fn name(m: usize) -> Box<str> {
     format!("m{m:02}").into()
 }
 
-/// Thirty models, half of them large; an engine holds two large ones, or one and three small ones.
+/// Thirty models, half of them large. Two large ones fit into an engine, or one and three small ones.
 fn decl() -> Decl {
     let model = |m: usize| Model {
         name: name(m),
@@ -90,7 +90,7 @@
     in_progress: Option<(PlannedOrder, Duration)>,
     /// Model, entry, and end of each stream.
     streams: Vec<(Box<str>, usize, Duration)>,
-    /// Requests sent by each entry that the agent has not been told.
+    /// Model and entry of each request that was not yet reported to the agent.
     sent: Vec<(Box<str>, usize)>,
 }
 
@@ -116,7 +116,7 @@
         }
     }
 
-    /// Ends streams and orders, and gives the agent's next order.
+    /// Ends streams and orders that are due, and has the agent read the engine.
     fn step(&mut self, now: Duration) {
         self.streams.retain(|(_, _, end)| *end > now);
         let done = self.in_progress.take_if(|(planned, at)| {
@@ -162,7 +162,7 @@
         out
     }
 
-    /// Tells the agent what the entries have sent.
+    /// Reports to the agent what the entries have sent.
     fn report_use(&mut self, now: Duration) {
         for entry in 0..ENTRIES {
             let mut list: Vec<Used> = decl()
@@ -171,7 +171,7 @@
                 .map(|m| self.used(&m.name, entry))
                 .collect();
             list.retain(|u| u.sent > 0 || u.in_flight > 0);
-            // What is in flight no more is told as well.
+            // Models without requests in flight are reported as well.
             list.extend(self.holds.models.iter().map(|h| self.used(&h.name, entry)));
             list.sort_by(|a, b| a.model.cmp(&b.model));
             list.dedup_by(|a, b| a.model == b.model);
@@ -198,18 +198,18 @@
     }
 }
 
-/// A request that waits for its first event.
+/// A client's request that waits for its first event.
 struct Waiting {
     model: Box<str>,
     entry: usize,
     since: Duration,
-    /// The engine that was asked for the model, and the question's number.
+    /// The engine and the number of the open load request.
     pending: Option<(usize, u64)>,
     refused: Vec<TargetKey>,
     stream: Duration,
 }
 
-/// What clients got.
+/// Number of requests by outcome, and of orders to engines.
 #[derive(Debug, Default)]
 struct ClientResults {
     in_time: usize,
@@ -242,7 +242,7 @@
             holds: Holds::default(),
         };
         let mut view = View::default();
-        let put = |n| view.put(target(n), Duration::ZERO).expect("a newer word");
+        let put = |n| view.put(target(n), Duration::ZERO).expect("a new target");
         let keys = (0..ENGINES).map(put).collect();
         Self {
             engines,
@@ -254,7 +254,7 @@
         }
     }
 
-    /// Reports to the entries.
+    /// Sends all engines' reports to the entries.
     fn report(&mut self, now: Duration) {
         for (n, engine) in self.engines.iter_mut().enumerate() {
             engine.report_use(now);
@@ -295,7 +295,7 @@
         }
     }
 
-    /// Sends a request where its model is, or asks for the model. Whether it runs now.
+    /// Sends a request to an engine with its model, or requests a load. Returns whether the request was sent.
     fn serve(&mut self, w: &mut Waiting, now: Duration) -> bool {
         let holds = |n: &usize| {
             let engine = &self.engines[*n];
@@ -354,8 +354,8 @@
     }
 }
 
-/// Half a minute of two busy models with 25 requests a second each, one of which gives way to another
-/// every eight seconds, and of 25 rare ones with 16 together.
+/// Simulates half a minute: two busy models with 25 requests a second each, one of which is replaced
+/// every eight seconds, and 25 rare ones with 20 requests a second together.
 fn simulate(seed: u64) -> ClientResults {
     let mut rng = StdRng::seed_from_u64(seed);
     let mut fleet = Fleet::new();
@@ -389,14 +389,14 @@
     fleet.results
 }
 
-/// Clients ask for 30 models on eight engines that hold 24 of them at best, and the busy ones change.
-/// Where engines swap models for requests that have long gone elsewhere, refuse what could wait half a
-/// second for room, or stand still while a long stream ends, requests wait for seconds, and the rare
-/// models that are pushed out are asked for again at once.
+/// Clients request 30 models from eight engines with capacity for at most 24 of them, and the busy models
+/// change. If engines load models for requests that were served elsewhere meanwhile, refuse loads that
+/// only need half a second for an eviction, or accept no orders while a long stream ends, requests wait
+/// for seconds, and evicted rare models are requested again at once.
 ///
-/// In time, seeds 1 to 4: 97.3, 99.0, 98.6 and 99.0% of all requests, with 156 to 193 orders; without spare
-/// replicas, load requests taken back and put in order, waits for room and models that leave before they go 92.0,
-/// 94.2, 90.4 and 96.6%, with 233 to 293 orders. The aim is nineteen of twenty.
+/// In time, seeds 1 to 4: 97.3, 99.0, 98.6 and 99.0% of all requests, with 156 to 193 orders. Without
+/// redundant replicas, cancellation and ordering of load requests, waits for capacity, and an end to new
+/// requests before an unload: 92.0, 94.2, 90.4 and 96.6%, with 233 to 293 orders. The objective is 95%.
 #[test]
 fn requests_start_in_time() {
     for seed in 1..=4 {
--- a/crates/stair-sidecar/tests/random.rs
+++ b/crates/stair-sidecar/tests/random.rs
@@ -1,4 +1,4 @@
-//! Orders under any series of events keep to what the engine can hold.
+//! Orders never exceed the engine's capacity, whatever the events.
 
 use std::time::Duration;
 
@@ -45,9 +45,9 @@
 #[derive(Debug, Clone)]
 enum Event {
     LoadRequest(usize, Option<usize>),
-    /// The agent reads the engine, which has finished its order or not.
+    /// The agent reads the engine; whether its order has finished by then.
     Read(bool),
-    /// The answer to the next order is lost; whether the engine carries it out all the same.
+    /// The reply to the next order is lost; whether the engine carries the order out.
     LoseReply(bool),
     Crash,
     Advance(u64),
@@ -81,7 +81,7 @@
     }
 }
 
-/// An engine that does what it is ordered to, also when that is its end.
+/// An engine that carries out all orders, including those that exceed its capacity.
 #[derive(Default)]
 struct Engine {
     holds: Holds,
@@ -146,7 +146,7 @@
         self.in_progress = None;
     }
 
-    /// Memory and places for adapters in use, what is being loaded among it.
+    /// Memory in MB and adapter slots in use, including a load in progress.
     fn used(&self) -> (f64, usize) {
         let size = |name: &str| MODELS.iter().find(|m| m.0 == name).expect("known").1;
         let loading = self.in_progress.iter().filter(|s| s.load);
@@ -164,9 +164,9 @@
         ..ProptestConfig::default()
     })]
 
-    /// An engine that is ordered beyond its memory or its places for adapters crashes with all that it
-    /// runs. Whatever is asked for, and whichever answers are lost, it never is; and no two of its
-    /// loads from the weight store begin within the window.
+    /// An order beyond the engine's memory or adapter slots crashes it with all its requests. No sequence
+    /// of load requests and lost replies leads to one, and no two loads from the weight store begin
+    /// within the window.
     #[test]
     fn orders_fit_the_engine(events in vec(event(), 1..120)) {
         let mut controller = Controller::new(Options { fetch_window: WINDOW });
