--- a/crates/stair-policy/examples/measure/cost.rs
+++ b/crates/stair-policy/examples/measure/cost.rs
@@ -1,4 +1,4 @@
-//! What one decision costs on one core.
+//! The cost of one decision on one core.
 
 use std::{
     hint::black_box,
@@ -59,7 +59,7 @@
 
 const ROUNDS: u32 = 20_000;
 
-/// Nanoseconds of one call, the least of five series.
+/// Returns the nanoseconds of one call, the least of five series.
 fn nanos<F>(mut call: F) -> f64
 where
     F: FnMut(u32),
@@ -78,7 +78,7 @@
     row(&[decision.into(), size.into(), format!("{nanos:.0}")]);
 }
 
-/// Each decision at the sizes of today and at the planned one.
+/// Measures each decision at small and large sizes.
 pub(crate) fn decisions() {
     head(
         "Cost of a decision",
@@ -184,7 +184,7 @@
     let cost = nanos(|n| {
         black_box(placement::changes(&opts, &fleet, &model(n, &[])));
     });
-    line("place: three new grants", &size, cost);
+    line("placement: three new grants", &size, cost);
     let held = [0, 1, 2].map(|k| ExistingGrant {
         target: TargetKey(k),
         revoking: false,
@@ -192,7 +192,7 @@
     let cost = nanos(|n| {
         black_box(placement::changes(&opts, &fleet, &model(n, &held)));
     });
-    line("place: nothing to change", &size, cost);
+    line("placement: nothing to change", &size, cost);
 }
 
 fn hash(n: u32) -> u64 {
@@ -218,7 +218,7 @@
         }
     });
     line(
-        "load order: next, done, request",
+        "load slots: next, done, request",
         &format!("{waiting} waiting"),
         cost,
     );
@@ -237,7 +237,7 @@
         black_box(keep_alive.idle_until(model, now, &cost));
     });
     line(
-        "keep: used and idle until",
+        "keep alive: used and idle until",
         &format!("{models} models"),
         spent,
     );
@@ -255,7 +255,7 @@
         black_box(s.weight(target));
     });
     line(
-        "shift: observe and weight",
+        "traffic weights: observe and weight",
         &format!("{targets} targets"),
         cost,
     );
--- a/crates/stair-policy/examples/measure/dispatch.rs
+++ b/crates/stair-policy/examples/measure/dispatch.rs
@@ -1,4 +1,4 @@
-//! A few entries that choose among the targets of one model.
+//! Simulates several entries that choose among the targets of one model.
 
 use std::collections::VecDeque;
 
@@ -34,27 +34,27 @@
     },
 };
 
-/// How an entry chooses.
+/// The rule by which an entry chooses.
 #[derive(Clone, Copy, PartialEq)]
 pub(crate) enum Rule {
     RoundRobin,
     LeastReported,
     LeastInFlight,
-    /// The choice under test without weights, but the slow target is never chosen while slow.
+    /// The choice under test without weights; the slow target is never chosen while it is slow.
     Oracle,
-    /// Always the home of the prompt's prefix.
+    /// Always the affinity target of the prompt's prefix.
     Home,
     /// The choice under test with affinity.
     Affinity,
     /// The choice under test without weights.
     Choose,
-    /// With the weights of `traffic_weights`.
+    /// The choice under test with the weights of `traffic_weights`.
     TrafficWeights,
-    /// With weights by the paper's rule.
+    /// The choice under test with weights by the paper's rule.
     Paper(Mean),
 }
 
-/// A scenario. Times in seconds.
+/// A scenario. Times are in seconds.
 #[derive(Clone, Copy)]
 pub(crate) struct Scenario {
     pub(crate) entries: usize,
@@ -63,53 +63,55 @@
     pub(crate) load: f64,
     pub(crate) report_every: f64,
     pub(crate) slow: Slow,
-    /// Prompts begin with one of so many prefixes; 0 for none.
+    /// Number of prefixes, one of which each prompt begins with; 0 for none.
     pub(crate) prefixes: usize,
     pub(crate) span: f64,
     pub(crate) seed: u64,
 }
 
-/// Who is slow, from a third of the span to two thirds.
+/// The targets that are slow in the second third of the span, and the factor of their latency.
 #[derive(Clone, Copy, PartialEq)]
 pub(crate) enum Slow {
     Nobody,
     One(f64),
     All(f64),
-    /// All, and the first target so many times more.
+    /// All by the first factor, and the first target additionally by the second.
     AllAndOne(f64, f64),
 }
 
-/// What came out.
+/// The results of a run.
 pub(crate) struct Report {
     pub(crate) latency: Samples,
-    /// The same, only while somebody is slow, the first ten seconds left out.
+    /// Latency in the slow third without its first 10 s.
     pub(crate) latency_slow: Samples,
-    /// Requests sent to target 0 while it is slow, after ten seconds, and all of that time.
+    /// Requests sent to target 0 in the slow third without its first 10 s.
     pub(crate) to_slow: u64,
+    /// All requests sent in that time.
     pub(crate) all_then: u64,
-    /// Requests sent to target 0 after it has recovered, thirty seconds left out, and all then.
+    /// Requests sent to target 0 in the last third without its first 30 s.
     pub(crate) to_recovered: u64,
+    /// All requests sent in that time.
     pub(crate) all_recovered: u64,
-    /// Lowest weight seen of any target but the first, at any entry.
+    /// Lowest weight of any target but the first, at any entry.
     pub(crate) lowest_healthy: f32,
     /// Requests whose prefix was cached.
     pub(crate) hits: u64,
-    /// Most requests that one target got.
+    /// Greatest number of requests sent to one target.
     pub(crate) busiest: u64,
 }
 
-/// Time to compute a prefix that is not cached.
+/// Seconds of prefill of a prefix that is not cached.
 const PREFILL: f64 = 0.3;
 
-/// Prefixes that a target caches.
+/// Number of prefixes that a target caches.
 const CACHED: usize = 4;
 
 const MEAN_RUN: f64 = 0.2;
 
 struct Target {
-    /// When each slot comes free.
+    /// The time at which each slot becomes free.
     slots: Vec<f64>,
-    /// The prefixes cached, the latest first.
+    /// The cached prefixes, the latest first.
     cache: Vec<usize>,
     got: u64,
     reported_wait: f64,
@@ -124,7 +126,7 @@
     paper: Detector,
 }
 
-/// An answer on its way: when it comes, to whom, and how long it ran.
+/// A response in transit: its arrival at an entry, the entry, the target and the run.
 struct Answer {
     at: f64,
     entry: usize,
@@ -141,7 +143,7 @@
     report: Report,
 }
 
-/// Draws a prefix; the first is asked for twice as often as the second, and so on.
+/// Draws a prefix by Zipf's law: the n-th is requested 1/n times as often as the first.
 fn popular(rng: &mut StdRng, prefixes: usize) -> Option<usize> {
     let whole: f64 = (1..=prefixes).map(|n| 1.0 / n as f64).sum();
     let mut left = rng.random_range(0.0..1.0) * whole;
@@ -205,7 +207,7 @@
         }
     }
 
-    /// Hands the answers that have come to their entries.
+    /// Delivers the responses that are due to their entries.
     fn deliver(&mut self, now: f64) {
         while self.answers.front().is_some_and(|a| a.at <= now) {
             let Some(a) = self.answers.pop_front() else {
--- a/crates/stair-policy/examples/measure/engine.rs
+++ b/crates/stair-policy/examples/measure/engine.rs
@@ -19,7 +19,7 @@
     secs, //
 };
 
-/// One request of a scenario. Times in seconds.
+/// One request of a scenario. Times are in seconds.
 #[derive(Clone, Copy)]
 pub(crate) struct Job {
     pub(crate) rank: u8,
@@ -35,25 +35,25 @@
     }
 }
 
-/// How requests wait.
+/// The queueing discipline.
 #[derive(Clone)]
 pub(crate) enum Discipline {
-    /// First come, first served; 512 may wait.
+    /// First come, first served; [`FIFO_BOUND`] may wait.
     Fifo,
-    /// The same, but a request whose deadline has passed is not run.
+    /// The same, but requests are not started after their deadline.
     FifoDropLate,
-    /// The queue under test, with so many slots kept for short work.
+    /// The queue under test, with `short_slots` slots reserved for short requests.
     Queue { opts: Options, short_slots: usize },
 }
 
-/// What the callers of one class of requests saw.
+/// The results of one class of requests.
 pub(crate) struct Seen {
     pub(crate) offered: u64,
     pub(crate) in_time: u64,
     pub(crate) refused: u64,
     /// From arrival to start, of those that ran.
     pub(crate) wait: Samples,
-    /// From arrival to being told, of those that did not run.
+    /// From arrival to refusal, of those that did not run.
     pub(crate) told: Samples,
 }
 
@@ -69,14 +69,14 @@
     }
 }
 
-/// What a whole run gave.
+/// The results of a run.
 pub(crate) struct Report {
     pub(crate) seen: Vec<Seen>,
-    /// Slot seconds spent on answers in time.
+    /// Slot seconds spent on responses in time.
     pub(crate) useful: f64,
-    /// Slot seconds spent on answers after the deadline.
+    /// Slot seconds spent on responses after the deadline.
     pub(crate) wasted: f64,
-    /// Until the last run ended.
+    /// Seconds until the last request ended.
     pub(crate) span: f64,
 }
 
@@ -95,7 +95,7 @@
     report: Report,
 }
 
-/// Runs the jobs, which are sorted by arrival, and sorts what callers saw into classes.
+/// Runs the jobs, which are sorted by arrival, and returns the results by class.
 pub(crate) fn run(
     jobs: &[Job],
     slots: usize,
@@ -195,7 +195,7 @@
         }
     }
 
-    /// The next arrival, or the next slot that comes free while something waits.
+    /// Advances the time to the next arrival, or, while requests wait, to the next free slot.
     fn next_event(&mut self, next: usize, waiting: bool) -> Option<f64> {
         let now = self.now;
         let busy = self.slots.iter().map(|s| s.free_at).filter(|t| *t > now);
--- a/crates/stair-policy/examples/measure/idle.rs
+++ b/crates/stair-policy/examples/measure/idle.rs
@@ -1,4 +1,4 @@
-//! Idle accelerator hours against cold starts, over two days of skewed demand.
+//! Idle accelerator hours against cold starts, with skewed demand over 48 simulated hours.
 
 use rand::{
     RngExt,
@@ -29,18 +29,19 @@
 const SPAN: f64 = 48.0 * 3_600.0;
 const MAX_IDLE: f64 = 1_800.0;
 
-/// A catalogue: base models and adapters.
+/// A catalogue of base models and adapters.
 struct Catalogue {
     name: &'static str,
     models: usize,
     adapters: usize,
+    /// Whether each model has a regular request interval.
     rhythm: bool,
 }
 
-/// A model or an adapter, its cold start and the moments it is asked for.
+/// A model or an adapter with its requests. Times are in seconds.
 struct Demand {
     cold_start: f64,
-    /// Part of an accelerator that it holds.
+    /// Fraction of an accelerator that it occupies.
     size: f64,
     asked: Vec<f64>,
 }
@@ -54,13 +55,13 @@
     }
 }
 
-/// When an idle model is unloaded.
+/// The rule by which an idle model is unloaded.
 #[derive(Clone, Copy)]
 enum Rule {
     Fixed(f64),
-    /// The break-even time, for what a second of cold start is worth.
+    /// The break-even time, for a cost of a second of cold start.
     SkiRental(f64),
-    /// The rule under test, for the same.
+    /// The rule under test, for the same cost.
     Histogram(f64),
 }
 
@@ -81,8 +82,8 @@
     cold_seconds: f64,
 }
 
-/// Sessions of requests at a rhythm of the model's own, with long quiet times between them. The
-/// first few models have most of the demand.
+/// Generates sessions of requests at an interval of each model's own, with long idle times between them.
+/// The first few models have most of the demand.
 fn demand(catalogue: &Catalogue) -> Vec<Demand> {
     let mut rng = StdRng::seed_from_u64(41);
     let count = catalogue.models + catalogue.adapters;
@@ -165,14 +166,14 @@
     report
 }
 
-/// The curve of idle accelerator hours against cold starts, for both users.
+/// The curves of idle accelerator hours against cold starts, one per catalogue.
 pub(crate) fn curve() -> Vec<Plot> {
     let mut plots = Vec::new();
     head(
         "Idle accelerator hours against cold starts",
-        "Two days; each model has sessions of 5 to 60 requests at a rhythm of its own (10 to 180 s), \
-         and quiet times of 10 minutes to 19 hours in the mean. Cold start 5 to 40 s, of an adapter 1 to 4 s; \
-         an adapter holds a twentieth of an accelerator. Without rhythm the times between requests are \
+        "Two days; each model has sessions of 5 to 60 requests at an interval of its own (10 to 180 s), \
+         and idle times of 10 minutes to 19 hours in the mean. Cold start 5 to 40 s, of an adapter 1 to 4 s; \
+         an adapter holds a twentieth of an accelerator. Without a regular interval the times between requests are \
          exponential. The weight is the idle accelerator seconds \
          that a second of cold start is worth. Cold start over all requests, warm ones count as 0.",
         &[
@@ -199,7 +200,7 @@
             rhythm: true,
         },
         Catalogue {
-            name: "30 + 55, no rhythm",
+            name: "30 + 55, no regular interval",
             models: 30,
             adapters: 55,
             rhythm: false,
--- a/crates/stair-policy/examples/measure/loads.rs
+++ b/crates/stair-policy/examples/measure/loads.rs
@@ -1,4 +1,4 @@
-//! Loads against a weight store that slows down.
+//! Loads from a weight store that slows down.
 
 use rand::{
     RngExt,
@@ -28,7 +28,7 @@
     rank: u8,
     asked: f64,
     timeout: f64,
-    /// Seconds of a load at full speed that are left.
+    /// Remaining seconds of the load at full speed.
     left: f64,
     finished: Option<f64>,
 }
@@ -40,7 +40,7 @@
     LoadSlots,
 }
 
-/// A store shared by the running loads: four at full speed, more share that speed.
+/// Speed of each running load: [`FULL_SPEED`] loads run at full speed, more loads share it.
 fn speed(running: usize, slow: bool) -> f64 {
     let shared = FULL_SPEED as f64 / running.max(FULL_SPEED) as f64;
     match slow {
@@ -123,11 +123,11 @@
     now
 }
 
-/// All models of a small fleet wake within two seconds, with and without a slow store.
+/// All models of a small fleet start cold within two seconds, with and without a slow store.
 pub(crate) fn bursts() {
     head(
-        "Loads against the weight store",
-        "30 models wake within 2 s; tiers 0/1/2 are 20/30/50% of them, with 10/30/120 s until the \
+        "Loads from the weight store",
+        "30 models start cold within 2 s; tiers 0/1/2 are 20/30/50% of them, with 10/30/120 s until the \
          deadline of the first request. The store runs 4 loads at full speed and slows each down \
          when there are more. Slow: a tenth of the speed for the first 20 s. Cold start in seconds, \
          p50/p95/p99.",
@@ -143,7 +143,7 @@
     let orders = [
         ("all at once (baseline)", Order::AllAtOnce),
         ("first come, 4 at once", Order::FirstCome),
-        ("turns", Order::LoadSlots),
+        ("load slots", Order::LoadSlots),
     ];
     for rate in [1.5, 4.0] {
         for slow_until in [0.0, 20.0] {
--- a/crates/stair-policy/examples/measure/main.rs
+++ b/crates/stair-policy/examples/measure/main.rs
@@ -1,9 +1,9 @@
-//! Puts the decisions under load, beside a named baseline each, and prints tables.
+//! Measures the decisions under simulated load, each beside a baseline, and prints tables.
 //!
 //! With a path as its argument it also draws the curve of idle hours as SVG.
 //!
-//! Time is simulated and every random number is seeded, so that two runs print the same figures,
-//! but for the cost of a decision. Only the decisions run here, with small fakes around them.
+//! Time is simulated and all random numbers are seeded, so that every run prints the same figures except
+//! the cost of a decision. Only the decisions are real code; engines, stores and clients are simulated.
 #![forbid(unsafe_code)]
 
 mod cost;
--- a/crates/stair-policy/examples/measure/paper.rs
+++ b/crates/stair-policy/examples/measure/paper.rs
@@ -1,18 +1,18 @@
 //! The detection rule of "Providing Predictive Self-Healing for Web Services: A QoS Monitoring and
 //! Analysis-based Approach", as a candidate beside the plain outlier rule of `traffic_weights`.
 //!
-//! A target is degraded after so many successive execution times above the mean plus a tolerated
-//! delay, which is the standard deviation. Execution time is told apart from communication by
-//! two clocks, as the paper does; the measurement hands over the execution time alone. What to do then
-//! is not the paper's: here the weight is halved with each alarm and doubled after as many
-//! successive times below the threshold.
+//! A target is degraded after [`SUCCESSIVE`] successive execution times above the mean plus a tolerated
+//! delay, which is the standard deviation. The paper separates execution from communication time with
+//! two clocks; this measurement passes the execution time alone. The paper defines no reaction: here
+//! the weight is halved with each alarm, and doubled after as many successive times below the
+//! threshold.
 
-/// Which mean is compared with.
+/// The mean that execution times are compared with.
 #[derive(Clone, Copy, PartialEq)]
 pub(crate) enum Mean {
-    /// Over the first thousand answers, then fixed.
+    /// Over the first [`PRE_COMPUTED_SAMPLES`] responses, then fixed.
     PreComputed,
-    /// Over all answers so far, with old ones forgotten.
+    /// A moving average over all responses.
     OnTheFly,
 }
 
--- a/crates/stair-policy/examples/measure/placing.rs
+++ b/crates/stair-policy/examples/measure/placing.rs
@@ -1,4 +1,4 @@
-//! Grants over a fleet, and what moves when VMs are replaced.
+//! Placement of grants over a fleet, and the moves when VMs are replaced.
 
 use stair_policy::placement::{
     Change,
@@ -18,14 +18,14 @@
     row, //
 };
 
-/// How grants are placed.
+/// The placement rule.
 #[derive(Clone, Copy)]
 enum Rule {
     /// The highest hashes of model and target, over all targets.
     Rendezvous,
     /// The least granted of all targets.
     LeastGranted,
-    /// The rule under test with so many probes.
+    /// The rule under test with this number of probes.
     Placement(u16),
 }
 
@@ -57,7 +57,7 @@
     }
 }
 
-/// Gives each model the grants that it lacks; returns how many were given.
+/// Adds the missing grants of each model; returns their number.
 fn settle(rule: Rule, size: Size, fleet: &mut Fleet, grants: &mut [Vec<TargetKey>]) -> u32 {
     let mut given = 0;
     for model in 0..size.models {
@@ -124,7 +124,7 @@
     keys.collect()
 }
 
-/// Models whose replicas are in fewer data centres than they could be.
+/// Number of models whose replicas are in fewer data centres than possible.
 fn badly_spread(size: Size, fleet: &Fleet, grants: &[Vec<TargetKey>]) -> u32 {
     let could = size.centres.min(u32::from(size.replicas)) as usize;
     let bad = grants.iter().filter(|held| {
@@ -137,20 +137,20 @@
     bad.count() as u32
 }
 
-/// Balance, spread and moves, against two baselines.
+/// Measures balance, spread and moves, against two baselines.
 pub(crate) fn fleets() {
     head(
         "Placement of grants",
         "Targets of 80 GB, models of 10 to 60 GB. Fullest: granted memory of the fullest target \
-         against the mean. Then a tenth of the VMs is replaced; grants given anew ought to be those \
-         of the VMs that went.",
+         against the mean. Then a tenth of the VMs is replaced; new grants should only replace those \
+         of the replaced VMs.",
         &[
             "fleet",
             "rule",
             "fullest",
             "models not spread out",
-            "given anew",
-            "of those needed",
+            "new grants",
+            "of them needed",
         ],
     );
     let sizes = [
@@ -182,10 +182,10 @@
     let rules = [
         ("rendezvous over all (baseline)", Rule::Rendezvous),
         ("least granted of all (baseline)", Rule::LeastGranted),
-        ("place, 1 probe", Rule::Placement(1)),
-        ("place, 2 probes", Rule::Placement(2)),
-        ("place, 3 probes", Rule::Placement(3)),
-        ("place, 6 probes", Rule::Placement(6)),
+        ("placement, 1 probe", Rule::Placement(1)),
+        ("placement, 2 probes", Rule::Placement(2)),
+        ("placement, 3 probes", Rule::Placement(3)),
+        ("placement, 6 probes", Rule::Placement(6)),
     ];
     for size in sizes {
         for (name, rule) in rules {
--- a/crates/stair-policy/examples/measure/plot.rs
+++ b/crates/stair-policy/examples/measure/plot.rs
@@ -4,14 +4,14 @@
 
 use plotters::prelude::*;
 
-/// One rule of a series, such as a fixed time.
+/// The result of one rule of a series.
 pub(crate) struct Point {
     pub(crate) series: usize,
     pub(crate) hours: f64,
     pub(crate) cold_seconds: f64,
 }
 
-/// One catalogue.
+/// The results of one catalogue.
 pub(crate) struct Plot {
     pub(crate) title: &'static str,
     pub(crate) points: Vec<Point>,
--- a/crates/stair-policy/examples/measure/retries.rs
+++ b/crates/stair-policy/examples/measure/retries.rs
@@ -1,4 +1,4 @@
-//! Retries during a loss of capacity, and the return of those who were refused.
+//! Retries during a loss of capacity, and the return of refused requests.
 
 use std::time::Duration;
 
@@ -27,8 +27,8 @@
     recovered_after: Option<u32>,
 }
 
-/// Steps of a second. Work beyond the capacity times out after it has used some of it, so the
-/// answers in time become fewer as the load grows.
+/// Simulates in steps of a second. Work beyond the capacity times out after it has used some of it, so
+/// fewer responses are in time as the load grows.
 fn run(budget: Option<Options>) -> Storm {
     const LOST_FROM: u32 = 30;
     const LOST_UNTIL: u32 = 60;
@@ -66,7 +66,7 @@
     out
 }
 
-/// Spends the budget as requests and failures come, evenly mixed over the second.
+/// Spends the budget on requests and failures that are evenly mixed over the second.
 fn allow(budget: &mut Budget, wanted: &mut [u32; ATTEMPTS]) {
     let failed = wanted.iter().sum::<u32>();
     let mut asked = 0;
@@ -84,17 +84,17 @@
     }
 }
 
-/// Half of the capacity is gone for half a minute.
+/// Half of the capacity is lost for half a minute.
 pub(crate) fn storm() {
     head(
-        "Retries while half of the capacity is gone",
+        "Retries while half of the capacity is lost",
         "900 requests a second on a capacity of 1,000, half of which is lost for 30 s of 180 s; up \
          to three retries each. Work beyond the capacity times out after using some of it.",
         &[
             "rule",
-            "answered in time",
+            "served in time",
             "retries",
-            "retries by request",
+            "retries per request",
             "back to normal after",
         ],
     );
@@ -114,12 +114,12 @@
     }
 }
 
-/// A thousand are refused at once and told when to come back.
+/// A thousand requests are refused at once with a retry delay.
 pub(crate) fn returns() {
     head(
-        "The return of the refused",
-        "1,000 callers are refused within one moment, with an expected drain of 10 s. How many \
-         come back within the busiest second.",
+        "The return of refused requests",
+        "1,000 requests are refused at the same time, with an expected drain time of 10 s. The number \
+         that returns within the busiest second.",
         &["rule", "busiest second"],
     );
     let drain = Duration::from_secs(10);
@@ -127,7 +127,7 @@
     for id in 0..1_000 {
         seconds[retry_after(drain, id).as_secs() as usize] += 1;
     }
-    row(&["same time for all (baseline)".into(), "1000".into()]);
+    row(&["same delay for all (baseline)".into(), "1000".into()]);
     let busiest = seconds.iter().max().copied().unwrap_or(0);
     row(&["spread by hash".into(), format!("{busiest}")]);
 }
--- a/crates/stair-policy/examples/measure/saturation.rs
+++ b/crates/stair-policy/examples/measure/saturation.rs
@@ -1,4 +1,4 @@
-//! One engine beyond its capacity, and long work mixed with short.
+//! One engine beyond its capacity, and long requests mixed with short ones.
 
 use std::time::Duration;
 
@@ -45,7 +45,7 @@
     }
 }
 
-/// Makes the estimate wrong by up to three tenths either way.
+/// Returns the actual run: the expected one with an error of up to 30%.
 fn actual(rng: &mut StdRng, expected: f64) -> f64 {
     expected * rng.random_range(0.7..1.3)
 }
@@ -75,13 +75,13 @@
     jobs
 }
 
-/// Three tiers at 1.5 and 3 times the capacity.
+/// Three tiers at 0.9, 1.5 and 3 times the capacity.
 pub(crate) fn tiers() {
     head(
         "Saturation with three tiers",
         "One engine of 16 slots, runs of 2 s in the mean (estimates wrong by up to 30%), 15 minutes; \
          20/30/50% of the requests in tiers 0/1/2 with timeouts of 10/20/30 s. Goodput is the slot \
-         time spent on answers in time, against all slot time. Times in seconds, p50/p95/p99.",
+         time spent on responses in time, against all slot time. Times in seconds, p50/p95/p99.",
         &[
             "load",
             "discipline",
@@ -91,13 +91,13 @@
             "in time",
             "refused",
             "wait",
-            "told no after",
+            "refused after",
         ],
     );
     let candidates = [
         ("FCFS (baseline)", Discipline::Fifo),
         ("FCFS, late ones not run", Discipline::FifoDropLate),
-        ("queue, no floors, no spare", queue(&[0, 0, 0], 0, 0)),
+        ("queue, no floors, no slack", queue(&[0, 0, 0], 0, 0)),
         ("queue, no floors", queue(&[0, 0, 0], 25, 0)),
         ("queue, floors 0/10/5%", queue(&[0, 10, 5], 25, 0)),
     ];
@@ -121,7 +121,7 @@
     const DRAFT_RUN: f64 = 30.0;
     const LOOK_UP_RUN: f64 = 0.2;
     let mut rng = StdRng::seed_from_u64(12);
-    // Nine tenths of the work are drafts, nine tenths of the requests look-ups.
+    // Nine tenths of the work are long requests, nine tenths of the requests short ones.
     let work = 0.06 * DRAFT_RUN + 0.94 * LOOK_UP_RUN;
     let rate = load * SLOTS as f64 / work;
     let mut now = 0.0;
@@ -144,12 +144,12 @@
     jobs
 }
 
-/// Drafts of half a minute and look-ups of a fifth of a second in one tier.
+/// Long requests of 30 s and short ones of 0.2 s in one tier.
 pub(crate) fn mix() {
     head(
-        "Long and short work in one tier",
-        "One engine of 16 slots, 30 minutes; 6% drafts of 30 s (timeout 180 s), 94% look-ups of \
-         0.2 s (timeout 2 s); drafts are nine tenths of the work.",
+        "Long and short requests in one tier",
+        "One engine of 16 slots, 30 minutes; 6% long requests of 30 s (timeout 180 s), 94% short ones of \
+         0.2 s (timeout 2 s); long requests are nine tenths of the work.",
         &[
             "load",
             "discipline",
@@ -159,21 +159,21 @@
             "in time",
             "refused",
             "wait",
-            "told no after",
+            "refused after",
         ],
     );
     let candidates = [
         ("FCFS (baseline)", Discipline::Fifo),
         ("FCFS, late ones not run", Discipline::FifoDropLate),
-        ("queue, no spare", queue(&[0], 0, 0)),
-        ("queue, spare 25%", queue(&[0], 25, 0)),
-        ("queue, spare 50%", queue(&[0], 50, 0)),
+        ("queue, no slack", queue(&[0], 0, 0)),
+        ("queue, slack 25%", queue(&[0], 25, 0)),
+        ("queue, slack 50%", queue(&[0], 50, 0)),
         (
-            "queue, spare 25%, 1 slot for short work",
+            "queue, slack 25%, 1 slot for short requests",
             queue(&[0], 25, 1),
         ),
         (
-            "queue, spare 25%, 2 slots for short work",
+            "queue, slack 25%, 2 slots for short requests",
             queue(&[0], 25, 2),
         ),
     ];
@@ -182,7 +182,7 @@
         for (name, discipline) in &candidates {
             let class = |j: &Job| usize::from(j.expected_run < 1.0);
             let report = run(&jobs, SLOTS, discipline, 2, &class);
-            print(&format!("{load}"), name, &report, &["drafts", "look-ups"]);
+            print(&format!("{load}"), name, &report, &["long", "short"]);
         }
     }
 }
--- a/crates/stair-policy/examples/measure/slow.rs
+++ b/crates/stair-policy/examples/measure/slow.rs
@@ -1,4 +1,4 @@
-//! One slow target, all slow together, and reports that lag.
+//! One slow target, all targets slow, stale reports, and prefix affinity.
 
 use crate::{
     dispatch::{
@@ -21,8 +21,11 @@
     ("least reported wait (baseline)", Rule::LeastReported),
     ("least in flight", Rule::LeastInFlight),
     ("choose, no weights", Rule::Choose),
-    ("choose, target 0 left out by hand (bound)", Rule::Oracle),
-    ("choose + shift (outlier rule)", Rule::TrafficWeights),
+    ("choose, target 0 excluded while slow (bound)", Rule::Oracle),
+    (
+        "choose + traffic weights (outlier rule)",
+        Rule::TrafficWeights,
+    ),
     (
         "choose + paper, mean on the fly",
         Rule::Paper(Mean::OnTheFly),
@@ -45,7 +48,7 @@
     seed: 31,
 };
 
-/// One of nine targets ten times slower, then all of them.
+/// One of nine targets slow by several factors, and all of them.
 pub(crate) fn slow_target() {
     head(
         "One slow target, and all slow together",
@@ -76,13 +79,13 @@
     }
 }
 
-/// The outlier rule of `traffic_weights` and the paper's, over ten seeds.
+/// The outlier rule of `traffic_weights` and the paper's rule, over ten seeds.
 pub(crate) fn detection() {
     head(
         "The outlier rule and the paper's rule",
-        "The same, over ten seeds: the mean of p99 while slow, its least and greatest, the mean part \
-         sent to the slow target (11.1% is its fair part) and to it from 30 s after its recovery, and the lowest weight that a healthy \
-         target had.",
+        "The same, over ten seeds: the mean of p99 while slow, its least and greatest, the mean share \
+         sent to the slow target (11.1% is its fair share) and to it from 30 s after its recovery, and the lowest weight of a healthy \
+         target.",
         &[
             "who is slow",
             "rule",
@@ -146,7 +149,7 @@
     ]);
 }
 
-/// More entries, and reports of load that are up to two seconds old.
+/// More entries, with load reports that are up to two seconds old.
 pub(crate) fn stale_reports() {
     head(
         "Reports that lag",
@@ -173,24 +176,24 @@
     }
 }
 
-/// Prompts that share long prefixes.
+/// Prompts with shared long prefixes.
 pub(crate) fn prefixes() {
     head(
         "Prefix affinity",
-        "3 entries, 9 targets of 8 slots that cache 4 prefixes each; 30 prefixes, the first asked \
-         for twice as often as the second and so on. A prefix that is not cached costs 0.3 s beside \
-         the run of 0.2 s in the mean. The load leaves out the prefixes.",
+        "3 entries, 9 targets of 8 slots that cache 4 prefixes each; 30 prefixes, the first requested \
+         twice as often as the second and so on. A prefix that is not cached costs 0.3 s in addition to \
+         the run of 0.2 s in the mean. The load does not include the prefixes.",
         &[
             "load",
             "rule",
             "latency",
             "prefix cached",
-            "busiest target's part",
+            "busiest target's share",
         ],
     );
     let rules = [
         ("least in flight (baseline)", Rule::LeastInFlight),
-        ("always the prefix's home", Rule::Home),
+        ("always the affinity target", Rule::Home),
         ("choose, no affinity", Rule::Choose),
         ("choose, affinity", Rule::Affinity),
     ];
--- a/crates/stair-policy/examples/measure/table.rs
+++ b/crates/stair-policy/examples/measure/table.rs
@@ -6,7 +6,7 @@
 use rand::RngExt;
 use rand::rngs::StdRng;
 
-/// Prints a heading, what was run, and the head of a table.
+/// Prints a heading, a description of the run, and the head of a table.
 pub(crate) fn head(title: &str, what: &str, columns: &[&str]) {
     println!("\n## {title}\n\n{what}\n");
     println!("| {} |", columns.join(" | "));
@@ -18,7 +18,7 @@
     println!("| {} |", cells.join(" | "));
 }
 
-/// A share in percent.
+/// Formats a share in percent.
 pub(crate) fn percent(part: f64, whole: f64) -> String {
     match whole > 0.0 {
         true => format!("{:.1}%", part / whole * 100.0),
@@ -26,21 +26,21 @@
     }
 }
 
-/// A time in seconds as a [`Duration`].
+/// Converts seconds to a [`Duration`]; negative times become zero.
 pub(crate) fn secs(s: f64) -> Duration {
     Duration::from_secs_f64(s.max(0.0))
 }
 
-/// An exponentially distributed time with this mean, in seconds.
+/// Draws an exponentially distributed time with this mean, in seconds.
 pub(crate) fn exponential(rng: &mut StdRng, mean: f64) -> f64 {
     let unit: f64 = rng.random_range(1e-9..1.0);
     -unit.ln() * mean
 }
 
-/// Longest time told apart.
+/// Longest time that is recorded exactly.
 const DAY_MS: u64 = 86_400_000;
 
-/// Times seen, with a resolution of a millisecond.
+/// Recorded times, with a resolution of a millisecond.
 #[derive(Clone)]
 pub(crate) struct Samples(Histogram<u64>);
 
@@ -63,7 +63,7 @@
         self.0.value_at_quantile(quantile) as f64 / 1_000.0
     }
 
-    /// p50, p95 and p99 in one cell.
+    /// Formats p50, p95 and p99 as one cell.
     pub(crate) fn cell(&self) -> String {
         match self.0.is_empty() {
             true => "-".into(),
--- a/crates/stair-policy/src/backoff.rs
+++ b/crates/stair-policy/src/backoff.rs
@@ -1,21 +1,21 @@
-//! Tells the refused when to come back.
+//! Computes the retry delay for refused requests.
 //!
-//! The load it is made for: thousands refused within the same second. The harm it prevents: all
-//! of them coming back in the same later second, and being refused again.
+//! Delays are spread out, so that thousands of requests refused in the same second do not return
+//! together and are refused again.
 
 use std::time::Duration;
 
-/// Shortest time told. A caller that comes back sooner costs more than it can gain.
+/// Shortest delay. A client that retries sooner costs more than it can gain.
 pub const MIN_RETRY_AFTER: Duration = Duration::from_millis(200);
 
-/// Longest time told. Estimates beyond it are worth little, since load changes faster.
+/// Longest delay. Load changes too fast for longer estimates to be of use.
 pub const MAX_RETRY_AFTER: Duration = Duration::from_secs(60);
 
-/// Returns when to come back, between the expected drain and twice that.
+/// Returns the retry delay, between the expected drain time and twice that.
 ///
-/// `spread` is a hash of the request, such as its id: the same refusal gives the same time, and
-/// different ones are spread evenly over the second half, so that they return at about the rate at
-/// which the queue drains.
+/// `spread` is a hash of the request, such as its id. The same refusal gives the same delay; different
+/// ones are spread evenly over the range, so that they return at about the rate at which the queue
+/// drains. The expected drain time is limited to [`MIN_RETRY_AFTER`] and half of [`MAX_RETRY_AFTER`].
 pub fn retry_after(expected_drain: Duration, spread: u64) -> Duration {
     let base = expected_drain.clamp(MIN_RETRY_AFTER, MAX_RETRY_AFTER / 2);
     let fraction = crate::hash::mix(spread, 0) >> 32;
--- a/crates/stair-policy/src/choose.rs
+++ b/crates/stair-policy/src/choose.rs
@@ -1,12 +1,12 @@
 //! Orders the targets that may serve a request.
 //!
-//! The load it is made for: many entries that choose at once among a few granted targets, with
-//! reports of load that lag. The harms it prevents: all entries running to the one target that
-//! looked idle a moment ago (herding); a request that waits through a cold start while a loaded
-//! target has room; prefix-cache affinity that overloads the home of a popular style guide; a
-//! slow target that gets its full share.
+//! Many entries choose at the same time among a few granted targets, on load reports that lag. The
+//! order prevents that all of them pick the target that was idle in the last report (herding), that a
+//! request waits for a cold start while a target with the model loaded has capacity, that
+//! prefix-cache affinity overloads the target of a popular prefix, and that a slow target gets a
+//! full share of the traffic.
 //!
-//! Only the candidates are looked at, so the cost does not grow with the fleet.
+//! The cost of a choice depends on the number of candidates, not on the size of the fleet.
 
 use std::time::Duration;
 
@@ -16,18 +16,18 @@
 /// Limits of the choice.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Options {
-    /// A report younger than this may decide alone. Beyond, other entries have probably sent work
-    /// that it does not show.
+    /// Age up to which a report counts as fresh. With an older one, other entries have probably sent
+    /// work that it does not include.
     pub fresh_for: Duration,
-    /// What each request of this entry in flight adds to the wait that a report showed: the
-    /// report does not know of them yet.
+    /// Wait added for each request that this entry has in flight, which the last report may not
+    /// include.
     pub per_in_flight: Duration,
-    /// What a request gains where its prompt's prefix is cached.
+    /// Prefill time saved where the prompt's prefix is cached.
     pub affinity_gain: Duration,
-    /// How much longer than elsewhere the wait at the prefix's home may be. Beyond, a popular
-    /// prefix overloads its home, and computing the prefix again is cheaper than waiting.
+    /// Longest additional wait accepted at the affinity target. Beyond it, a popular prefix overloads
+    /// its target, and another prefill is cheaper than the wait.
     pub affinity_bound: Duration,
-    /// What it costs to leave the data centre.
+    /// Cost of a target in another data centre.
     pub cross_data_centre_cost: Duration,
 }
 
@@ -50,26 +50,26 @@
     pub key: TargetKey,
     /// Whether the model is loaded there.
     pub loaded: bool,
-    /// Wait for a slot, as last reported.
+    /// Expected wait for a slot, as last reported.
     pub expected_wait: Duration,
-    /// Age of that report; [`Duration::MAX`] when there was none.
+    /// Age of that report; [`Duration::MAX`] without a report.
     pub report_age: Duration,
-    /// Requests that this entry has there now.
+    /// Requests that this entry has in flight there.
     pub in_flight: u16,
-    /// How long loading the model there would take; not used when it is loaded.
+    /// Expected time to load the model there; not used when it is loaded.
     pub cold_start: Duration,
-    /// Whether the prompt's prefix has its home there.
+    /// Whether the target is the affinity target of the prompt's prefix.
     pub prefix_affinity: bool,
     /// Whether the target is in this entry's data centre.
     pub same_data_centre: bool,
-    /// The target's share, from [`traffic_weights`](crate::traffic_weights): 1 is a full share.
+    /// The target's weight from [`traffic_weights`](crate::traffic_weights); 1 is a full share.
     pub weight: f32,
 }
 
 impl Candidate {
     fn cost(&self, opts: &Options) -> Duration {
-        // What waited when the report was made has been worked off since. A small wait in an old
-        // report says nothing, a large one still says something.
+        // The reported queue has drained by the report's age since. A short wait in an old report
+        // carries no information, a long one still does.
         let reported = self.expected_wait.saturating_sub(self.report_age);
         let queue = reported + opts.per_in_flight * u32::from(self.in_flight);
         // The model loads while the request waits.
@@ -89,9 +89,10 @@
     }
 }
 
-/// Tells whether `target` is the home of a prompt's prefix among the candidates.
+/// Returns the candidate to which requests with this prompt prefix are routed for its prefix cache.
 ///
-/// Rendezvous hashing: a target that comes or goes moves only the prefixes whose home it is.
+/// Candidates are pairs of a target and the hash of its name. Rendezvous hashing: when a target is added
+/// or removed, only its own prefixes move.
 pub fn affinity_target<I>(prefix_hash: u64, candidates: I) -> Option<TargetKey>
 where
     I: IntoIterator<Item = (TargetKey, u64)>,
@@ -102,7 +103,7 @@
         .map(|(key, _)| key)
 }
 
-/// Orders the candidates: the first is tried first, the others if it refuses.
+/// Orders the candidates by preference; later ones are for when earlier ones refuse.
 pub fn order<R>(opts: &Options, candidates: &[Candidate], rng: &mut R) -> Vec<TargetKey>
 where
     R: Rng + ?Sized,
@@ -149,11 +150,11 @@
     }
 }
 
-/// Decides whether a target takes part in this choice as any other.
+/// Decides at random whether a target takes part in this choice on equal terms.
 ///
-/// A target with little weight has little in flight, and so looks best whenever it takes part. It
-/// would get its weight's part of all requests, not of its fair share of them; so its chance is
-/// less than its weight, the more so the more candidates there are.
+/// A target with a low weight has little in flight, so it ranks first whenever it takes part. Drawn with
+/// its weight as the probability, it would get that fraction of all requests instead of that
+/// fraction of its fair share. So the probability is lower, the more so with more candidates.
 fn takes_part<R>(weight: f32, candidates: usize, rng: &mut R) -> bool
 where
     R: Rng + ?Sized,
@@ -168,12 +169,12 @@
     unit < chance
 }
 
-/// Puts the better of two random candidates first.
+/// Moves the better of two random candidates to the front.
 ///
-/// With old reports the best-looking target is the same for all entries, and all of them run to
-/// it. Two random ones, of which the better is taken, spread the entries and still avoid the worst
-/// (power of two choices). Only candidates like the first are drawn: a cold or demoted one is not
-/// worth a spread.
+/// With stale reports all entries rank the same target first and would overload it. The better of two
+/// random candidates spreads the entries and still avoids the worst targets (power of two choices).
+/// Only candidates that are loaded and demoted like the first are drawn; a cold start or a slow
+/// target would cost more than spreading gains.
 fn two_choices<R>(ranked: &mut [Ranked<'_>], rng: &mut R)
 where
     R: Rng + ?Sized,
--- a/crates/stair-policy/src/keep_alive.rs
+++ b/crates/stair-policy/src/keep_alive.rs
@@ -1,13 +1,13 @@
 //! Decides how long an idle model stays loaded.
 //!
-//! The load it is made for: hundreds of models and thousands of adapters of which few are busy,
-//! each with a rhythm of its own. The harms it prevents: accelerators held by models that nobody
-//! will ask for soon, and cold starts for callers of models that were unloaded a moment ago.
+//! A model that is unloaded too late occupies an accelerator; one that is unloaded too early has its
+//! next request wait for a cold start. Of hundreds of models and thousands of adapters few are busy, and
+//! each has its own request pattern, so the time is computed for each of them.
 //!
-//! Each deployment says what a second of cold start is worth in idle accelerator seconds. From
-//! that and from the idle times seen, the time kept is the one with the lowest expected cost. With
-//! few idle times seen it is the break-even time (ski rental), which never costs more than twice
-//! what knowing the future would.
+//! Each deployment configures the cost of a second of cold start in idle accelerator seconds. With
+//! that and the observed idle times, the keep-alive time is the one with the lowest expected cost.
+//! With few observations it is the break-even time (ski rental), which never costs more than twice
+//! the optimum.
 
 use std::time::Duration;
 
@@ -16,15 +16,15 @@
 /// How cold starts are weighed against idle time.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Options {
-    /// Idle accelerator seconds that one second of cold start is worth. On
-    /// the measured curve four needs a fifth to a third fewer idle hours than a fixed minute, at no
-    /// more cold start. Eight is for those who cannot wait.
+    /// Idle accelerator seconds that one second of cold start is worth. With 4, a fifth to a third
+    /// fewer idle hours are spent than with a fixed keep-alive of a minute, at no more cold start. 8
+    /// suits clients that cannot wait.
     pub cold_start_weight: f64,
-    /// Kept at least so long: unloading and loading at once only costs the store's rate.
+    /// Least keep-alive time: unloading and reloading at once only uses up the store's load rate.
     pub min_idle: Duration,
-    /// Kept at most so long. Idle times beyond it are not told apart.
+    /// Longest keep-alive time.
     pub max_idle: Duration,
-    /// Idle times to see before the histogram is trusted. With fewer, one odd gap would decide.
+    /// Observations needed before the histogram is used. With fewer, a single outlier would decide.
     pub min_samples: u16,
 }
 
@@ -39,21 +39,21 @@
     }
 }
 
-/// What it costs to load a model again, and to keep it.
+/// Cost of reloading a model, and of keeping it loaded.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Cost {
-    /// What loading again is expected to take, by where the checkpoint is cached now: a model in
-    /// the host's memory is let go sooner than one that only the weight store has.
+    /// Expected time to load the model again from its present copy. A model in the host's memory is
+    /// unloaded sooner than one that only the weight store has.
     pub cold_start: Duration,
-    /// The part of the accelerator's memory that it holds, up to 1. An adapter that holds a
+    /// Fraction of the accelerator's memory that it occupies, up to 1. An adapter that occupies a
     /// twentieth is worth keeping twenty times as long as a model that fills the accelerator.
     pub memory_fraction: f64,
 }
 
-/// Least share counted; also guards a division by zero.
+/// Lower bound of the memory fraction; also prevents a division by zero.
 const MIN_MEMORY_FRACTION: f64 = 0.001;
 
-/// Buckets of idle times; each is half as wide again as the one before, the last is open.
+/// Number of buckets. Bounds grow by [`GROWTH`]; the last bucket is unbounded.
 const BUCKETS: usize = 20;
 
 /// Ratio of neighbouring bucket bounds.
@@ -62,13 +62,14 @@
 /// Upper bound of the first bucket, in seconds. The last bound is about 37 minutes.
 const FIRST_BOUND: f64 = 1.0;
 
-/// When a bucket reaches this count all are halved, so that old habits are forgotten.
+/// When a bucket reaches this count all counts are halved, so that old observations lose weight.
 const MAX_COUNT: u8 = 64;
 
-/// The idle times of one model: 32 bytes.
+/// The idle times of one model, in 32 bytes.
 #[derive(Debug, Clone, Copy, Default)]
 struct IdleHistogram {
-    /// When it was last used or finished, in milliseconds since the process's start, plus one; 0 is never.
+    /// Time of the last request's arrival or end, in milliseconds since the start of the process plus
+    /// one; 0 for none.
     last_used_ms: u64,
     counts: [u8; BUCKETS],
 }
@@ -77,12 +78,12 @@
 #[derive(Debug, Clone)]
 pub struct KeepAlive {
     opts: Options,
-    /// By model key.
+    /// Indexed by model key.
     histograms: Vec<IdleHistogram>,
 }
 
 impl KeepAlive {
-    /// Makes a state that has seen nothing.
+    /// Creates a state without observations.
     pub fn new(opts: Options) -> Self {
         Self {
             opts,
@@ -90,15 +91,15 @@
         }
     }
 
-    /// Replaces the weights when a new configuration is in force; what was seen is kept.
+    /// Replaces the options when a new configuration is in force; observations are kept.
     pub fn set_options(&mut self, opts: Options) {
         self.opts = opts;
     }
 
-    /// Notes that a request for the model arrives, and learns the idle time before it.
+    /// Records the arrival of a request for the model, and the idle time before it.
     ///
-    /// Idle times below `min_idle` are not learned: the model is kept for so long in any case, and
-    /// the many short ones of a burst would push out the few long ones that matter.
+    /// Idle times up to `min_idle` are not recorded: the model is kept for that time in any case, and the
+    /// many short idle times of a burst would displace the few long ones that matter.
     pub fn used(&mut self, model: ModelKey, now: Duration) {
         let min_idle = self.opts.min_idle;
         let histogram = self.histogram(model);
@@ -110,7 +111,7 @@
         histogram.set_last_used(now);
     }
 
-    /// Notes that a request for the model has ended: the idle time starts anew.
+    /// Records the end of a request for the model, which restarts the idle time.
     pub fn finished(&mut self, model: ModelKey, now: Duration) {
         self.histogram(model).set_last_used(now);
     }
@@ -123,7 +124,7 @@
         &mut self.histograms[at]
     }
 
-    /// Returns until when the model is kept if it is not used before.
+    /// Returns the time until which the model stays loaded if no request for it arrives before.
     pub fn idle_until(&self, model: ModelKey, now: Duration, cost: &Cost) -> Duration {
         let histogram = self.histograms.get(model.0 as usize);
         let last_used = histogram.and_then(IdleHistogram::last_used).unwrap_or(now);
@@ -166,10 +167,10 @@
         self.counts.iter().map(|c| u32::from(*c)).sum()
     }
 
-    /// Returns the time kept, in seconds, with the lowest expected cost of one idle time.
+    /// Returns the keep-alive time, in seconds, with the lowest expected cost per idle time.
     ///
-    /// Keeping for `t` costs the idle time itself when the model is used before `t`, and `t` plus
-    /// the cold start when it is not.
+    /// A keep-alive time of `t` costs the idle time itself when the model is used before `t`, otherwise
+    /// `t` plus the cold start.
     fn cheapest(&self, cold_start_cost: f64, opts: &Options) -> f64 {
         let mut best = opts.min_idle.as_secs_f64();
         let mut left = f64::from(self.samples());
--- a/crates/stair-policy/src/lib.rs
+++ b/crates/stair-policy/src/lib.rs
@@ -1,18 +1,18 @@
-//! The decisions under load: what is admitted, who goes first, where it goes, what is refused.
+//! Admission, ordering, routing, placement and refusal under load.
 //!
-//! Pure logic: no input or output, no clock, no threads. Time is passed in as a
+//! Pure logic: no I/O, no clock, no threads. Time is passed in as a
 //! [`Duration`](std::time::Duration) since the start of the process, randomness as a generator or
-//! a hash. The entry and the agent call these modules as they are, so what is measured is what
-//! runs.
+//! a hash. The entry and the agent call these modules directly, so the measurements in
+//! `examples/measure` run the same code.
 //!
-//! - [`queue`]: admits, orders and expires the requests that wait in front of one engine.
+//! - [`queue`]: admits, orders and expires the requests that wait for one engine.
 //! - [`choose`]: orders the targets that may serve a request.
 //! - [`placement`]: decides which targets are granted a model.
-//! - [`load_slots`]: shares out the weight store's rate.
+//! - [`load_slots`]: schedules loads from the weight store.
 //! - [`keep_alive`]: decides how long an idle model stays loaded.
-//! - [`traffic_weights`]: takes share from slow or failing targets and gives it back.
-//! - [`retry`]: bounds retries to a share of the requests.
-//! - [`backoff`]: tells the refused when to come back.
+//! - [`traffic_weights`]: reduces and restores the traffic share of slow or failing targets.
+//! - [`retry`]: limits retries to a fraction of the requests.
+//! - [`backoff`]: computes the retry delay for refused requests.
 #![deny(missing_docs)]
 #![forbid(unsafe_code)]
 
--- a/crates/stair-policy/src/load_slots.rs
+++ b/crates/stair-policy/src/load_slots.rs
@@ -1,30 +1,30 @@
-//! Shares out the weight store's rate among the loads that wait.
+//! Schedules loads from the weight store.
 //!
-//! The load it is made for: many models waking at once, or a weight store that slows down. The
-//! harms it prevents: more loads at once than run at full speed, so that all are slow and all are
-//! late; a load for a waiting clerk behind ten for drafts that have time; a turn that is lost with
-//! its holder.
+//! A load needs a slot, leased to its holder. Slots limit the loads that run at once, since more loads
+//! than the store serves at full speed all become slow and late, for instance when many models start
+//! cold at the same time or the store slows down. They are leased by urgency, and a lease expires when
+//! its holder no longer renews it.
 //!
-//! Soft state: when two processes share out turns for a while, loads are slower, nothing worse.
+//! Soft state: if two processes schedule loads for a while, loads are slower, without other harm.
 
 use std::time::Duration;
 
 use stair_types::TierRank;
 
-/// What the weight store allows, and for how long a turn is lent.
+/// Limits of the weight store, and the duration of leases.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Options {
-    /// Loads that may start a second.
+    /// Loads that may start per second.
     pub loads_per_second: f64,
-    /// Loads that run at full speed at once. More would slow each other down, so that the first
-    /// finishes no sooner and holds accelerator memory for longer.
+    /// Loads that the store serves at full speed at once. More would slow each other down: the first
+    /// would finish no sooner, and all would occupy accelerator memory for longer.
     pub full_speed_loads: u16,
-    /// A turn whose holder has not been heard of for so long is free again. Agents renew the
-    /// turns that they hold with every report, so this is several reports long; it does not depend
-    /// on how long a load takes, since a slow store must not free turns that are in use.
+    /// Time without a renewal after which a lease expires. Agents renew their leases with every
+    /// report, so this spans several reports. It does not depend on the duration of a load, since a
+    /// slow store must not free slots that are in use.
     pub holder_timeout: Duration,
-    /// Each time a load has waited so long it counts as one tier higher, so that the lowest
-    /// tier's models are loaded in the end however many others wake.
+    /// Wait after which a load is promoted by one tier, repeatedly, so that models of the lowest tier
+    /// are not starved by cold starts of higher ones.
     pub promote_after: Duration,
 }
 
@@ -53,13 +53,13 @@
     renewed_at: Duration,
 }
 
-/// The loads that wait for a turn and those that have one.
+/// The loads that wait for a slot and those that have one.
 #[derive(Debug, Clone)]
 pub struct LoadSlots<K> {
     opts: Options,
     waiting: Vec<Waiter<K>>,
     running: Vec<Lease<K>>,
-    /// When the rate allows the next start.
+    /// Earliest time of the next start by the rate.
     next_start: Duration,
 }
 
@@ -67,7 +67,7 @@
 where
     K: Copy + Eq,
 {
-    /// Makes turns of which none is taken.
+    /// Creates a scheduler whose slots are all free.
     pub fn new(opts: Options) -> Self {
         Self {
             opts,
@@ -77,15 +77,15 @@
         }
     }
 
-    /// Changes what the weight store allows. Turns that are held or asked for stay.
+    /// Replaces the limits. Leases and waiting loads stay.
     pub fn set_options(&mut self, opts: Options) {
         self.opts = opts;
     }
 
-    /// Asks for a turn, or raises what is known of one asked for before.
+    /// Requests a slot for a load, or raises the urgency of an earlier request.
     ///
-    /// `rank` and `deadline` are those of the most urgent request that waits for the load. A key
-    /// that has a turn keeps it, and the call renews it.
+    /// `rank` and `deadline` are those of the most urgent request that waits for the load. If the key has
+    /// a lease, the call renews it.
     pub fn request(&mut self, now: Duration, key: K, rank: TierRank, deadline: Duration) {
         if self.renew(now, key) {
             return;
@@ -104,7 +104,7 @@
         }
     }
 
-    /// Gives out a turn if the rate and the number of running loads allow one now.
+    /// Leases a slot to the most urgent load, if the rate and the running loads allow a start now.
     pub fn next(&mut self, now: Duration) -> Option<K> {
         self.expire(now);
         if now < self.next_start || self.running.len() >= usize::from(self.opts.full_speed_loads) {
@@ -117,15 +117,17 @@
             key,
             renewed_at: now,
         });
-        // Time without starts is not saved up: a burst after a pause would exceed the store's
-        // rate just when many models wake.
+        // Unused starts do not accumulate: a burst after a pause would exceed the store's rate just
+        // when many models start cold.
         self.next_start = now + self.start_interval();
         Some(key)
     }
 
-    /// Returns when [`LoadSlots::next`] is worth calling again, if something waits for the rate only.
+    /// Returns the next time at which [`LoadSlots::next`] may lease a slot without further events; `None`
+    /// if no load waits.
     ///
-    /// When all turns are taken, that is when one of them ends or expires.
+    /// While all slots are leased, this is the time at which the first lease expires if it is not
+    /// renewed.
     pub fn next_at(&self) -> Option<Duration> {
         if self.waiting.is_empty() {
             return None;
@@ -137,40 +139,40 @@
         oldest.map(|renewed_at| self.next_start.max(renewed_at + self.opts.holder_timeout))
     }
 
-    /// Notes that the holder of a turn is alive; tells whether it has one.
+    /// Renews the lease of a load; returns whether there is one.
     ///
-    /// A holder that reads `false` has lost its turn and asks again; its load goes on meanwhile,
-    /// since to cut it would waste what the store has sent.
+    /// On `false` the lease has expired and the holder requests a slot again. Its load continues
+    /// meanwhile, since aborting it would waste the data already transferred.
     pub fn renew(&mut self, now: Duration, key: K) -> bool {
         let found = self.running.iter_mut().find(|r| r.key == key);
         found.map(|r| r.renewed_at = now).is_some()
     }
 
-    /// Ends a turn: the load has finished or failed.
+    /// Ends a lease after the load has finished or failed.
     pub fn done(&mut self, key: K) {
         self.running.retain(|r| r.key != key);
     }
 
-    /// Withdraws a load that nobody waits for any more, whether it has a turn or not.
+    /// Withdraws a load that is no longer needed, whether it waits or has a lease.
     pub fn cancel(&mut self, key: K) {
         self.waiting.retain(|w| w.key != key);
         self.done(key);
     }
 
-    /// Loads that wait for a turn.
+    /// Number of loads that wait for a slot.
     pub fn waiting(&self) -> usize {
         self.waiting.len()
     }
 
-    /// Loads that have one.
+    /// Number of loads that have a slot.
     pub fn running(&self) -> usize {
         self.running.len()
     }
 
-    /// Frees the turns whose holders are not heard of.
+    /// Ends the leases that were not renewed in time.
     ///
-    /// An agent that dies in the middle of a load tells nobody. Its turn would be gone for good,
-    /// and after four such deaths nothing would ever be loaded again.
+    /// An agent that dies during a load does not end its lease. Without expiry its slot would be lost, and
+    /// with the default of four slots no model could be loaded after four such deaths.
     fn expire(&mut self, now: Duration) {
         let timeout = self.opts.holder_timeout;
         self.running.retain(|r| r.renewed_at + timeout > now);
@@ -194,10 +196,10 @@
     }
 }
 
-/// Guards against a division by zero.
+/// Lower bound of the promotion interval; prevents a division by zero.
 const MIN_STEP_SECS: f64 = 0.001;
 
-/// Guards against a rate of zero, which would stop all loads for good.
+/// Lower bound of the rate; a rate of zero would stop all loads.
 const MIN_RATE: f64 = 0.01;
 
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
--- a/crates/stair-policy/src/placement.rs
+++ b/crates/stair-policy/src/placement.rs
@@ -1,12 +1,12 @@
 //! Decides which targets are granted a model.
 //!
-//! The load it is made for: many models, few of them busy, on a fleet whose VMs come and go all
-//! day. The harms it prevents: more replicas than were decided; all replicas of a model in the
-//! data centre that fails; a few targets that hold most grants while others idle; grants that move
-//! without need, each of which costs a load from the weight store.
+//! Models are many, few of them are busy, and VMs are added and removed all the time. Placement never
+//! exceeds the declared number of replicas, spreads the replicas of a model over data centres,
+//! balances granted memory over targets, and moves a grant only when it must: each move costs a
+//! load from the weight store.
 //!
-//! The cost per model does not grow with the fleet: candidates are found by hash, a few in each
-//! data centre, and only when those are all unfit does the walk go on.
+//! The cost per model does not grow with the fleet: a few candidates in each data centre are found by
+//! hash, and the search continues only when none of them fits.
 
 use stair_types::TargetKey;
 
@@ -15,15 +15,15 @@
 /// Limits of the placement.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Options {
-    /// Candidates looked at in each data centre. Two choices keep the fullest target close to the
-    /// average; a third or fourth still helps when VMs differ in size, more do not.
+    /// Candidates examined in each data centre. Two choices keep the fullest target close to the
+    /// average; a third or fourth helps when VMs differ in size, more do not.
     pub probes: u16,
-    /// A data centre with no more targets than this is looked at as a whole: that costs little
-    /// more than the probes, and balances better.
+    /// Largest number of targets of a data centre that is searched completely, which costs little more
+    /// than the probes and balances better.
     pub scan_up_to: u16,
-    /// Memory that a target's grants may add up to, in percent of its own memory. Grants are
-    /// permissions of which few are in use; beyond some tenfold, wakings on one target would
-    /// unload each other too often.
+    /// Limit of the memory of all models granted to a target, in percent of its own memory. Few of the
+    /// granted models are in use at a time; beyond about ten times the memory, cold starts on one
+    /// target would evict each other too often.
     pub max_granted_percent: u32,
 }
 
@@ -37,7 +37,7 @@
     }
 }
 
-/// A target as placement sees it.
+/// The properties of a target that placement depends on.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct TargetInfo {
     /// The target.
@@ -46,11 +46,11 @@
     pub name_hash: u64,
     /// Index of its data centre.
     pub data_centre: u16,
-    /// Its accelerator memory.
+    /// Its accelerator memory in MiB.
     pub memory_mib: u32,
-    /// Memory of all models granted to it, loaded or not.
+    /// Memory of all models granted to it, loaded or not, in MiB.
     pub granted_mib: u64,
-    /// Whether it may get grants: in the platform's list and not leaving.
+    /// Whether it may get grants: it is in the platform's list and not draining.
     pub live: bool,
 }
 
@@ -66,48 +66,48 @@
         self.live && model.memory_mib <= self.memory_mib
     }
 
-    /// Granted memory for each mebibyte of its own, in thousandths.
+    /// Ratio of granted memory to its own memory, in thousandths.
     fn fullness(&self) -> u64 {
         self.granted_mib * 1_000 / u64::from(self.memory_mib.max(1))
     }
 }
 
-/// A grant that a model has.
+/// A grant that a model has already.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ExistingGrant {
     /// Its target.
     pub target: TargetKey,
-    /// Whether it is being revoked and not yet confirmed as unloaded.
+    /// Whether it is being revoked and the unload is not yet confirmed.
     pub revoking: bool,
 }
 
-/// A model as placement sees it.
+/// The properties of a model that placement depends on.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ModelInfo<'a> {
     /// Hash of its name, the same in all processes.
     pub name_hash: u64,
-    /// Accelerator memory of one replica.
+    /// Accelerator memory of one replica in MiB.
     pub memory_mib: u32,
-    /// Replicas that were decided.
+    /// Declared number of replicas.
     pub replicas: u16,
-    /// All its grants, also those being revoked.
+    /// All its grants, including those being revoked.
     pub grants: &'a [ExistingGrant],
 }
 
 /// One change of a model's grants.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Change {
-    /// Grant the model to the target.
+    /// Grants the model to the target.
     Grant(TargetKey),
-    /// Begin to revoke the model's grant.
+    /// Begins to revoke the model's grant on the target.
     Revoke(TargetKey),
 }
 
-/// All targets, by data centre and hash, in the same order in every process.
+/// All targets, sorted by data centre, name hash and key, so in the same order in every process.
 #[derive(Debug, Clone, Default)]
 pub struct Fleet {
     targets: Vec<TargetInfo>,
-    /// Sorted by key; where the target stands in `targets`.
+    /// Index into `targets` by key, sorted by key.
     by_key: Vec<KeyIndex>,
     data_centres: Vec<Span>,
 }
@@ -118,7 +118,7 @@
     index: usize,
 }
 
-/// The targets of one data centre.
+/// The range of one data centre's targets.
 #[derive(Debug, Clone, Copy)]
 struct Span {
     data_centre: u16,
@@ -126,7 +126,7 @@
     end: usize,
 }
 
-/// A data centre with the replicas that a model has there.
+/// A data centre and the number of a model's replicas there.
 #[derive(Debug, Clone, Copy)]
 struct DataCentreReplicas {
     holders: usize,
@@ -134,7 +134,7 @@
 }
 
 impl Fleet {
-    /// Sorts the targets; O(n log n), needed only when the platform's list changes.
+    /// Sorts the targets in O(n log n); needed only when the platform's list changes.
     pub fn new(mut targets: Vec<TargetInfo>) -> Self {
         targets.sort_unstable_by_key(|t| (t.data_centre, t.name_hash, t.key));
         let places = targets.iter().enumerate();
@@ -165,19 +165,19 @@
         self.index(key).map(|i| &self.targets[i])
     }
 
-    /// All targets, by data centre and hash.
+    /// All targets, sorted by data centre, name hash and key.
     pub fn targets(&self) -> &[TargetInfo] {
         &self.targets
     }
 
-    /// Notes a grant, so that the next model placed sees it.
+    /// Adds a grant of `memory_mib` to a target, so that the next placement counts it.
     pub fn add_grant(&mut self, key: TargetKey, memory_mib: u32) {
         if let Some(i) = self.index(key) {
             self.targets[i].granted_mib += u64::from(memory_mib);
         }
     }
 
-    /// Notes that a grant is gone.
+    /// Removes a grant of `memory_mib` from a target.
     pub fn remove_grant(&mut self, key: TargetKey, memory_mib: u32) {
         if let Some(i) = self.index(key) {
             let granted = &mut self.targets[i].granted_mib;
@@ -185,7 +185,7 @@
         }
     }
 
-    /// Notes whether a target may get grants.
+    /// Sets whether a target may get grants.
     pub fn set_live(&mut self, key: TargetKey, live: bool) {
         if let Some(i) = self.index(key) {
             self.targets[i].live = live;
@@ -198,11 +198,12 @@
     }
 }
 
-/// Returns the changes that bring a model's grants to what was decided.
+/// Returns the changes that bring a model's grants to its declared number of replicas.
 ///
-/// Grants together with those being revoked never exceed the replicas: a grant being revoked may
-/// still be loaded, so its replacement is granted only once it is confirmed as gone. Present
-/// holders stay unless they are not live, cannot hold the model, or are too many.
+/// Grants, including those being revoked, never exceed the replicas: a model whose grant is being
+/// revoked may still be loaded, so the replacement is granted only after the unload is confirmed.
+/// Present holders stay unless they are not live, have too little memory for the model, or exceed
+/// the number of replicas.
 pub fn changes(opts: &Options, fleet: &Fleet, model: &ModelInfo<'_>) -> Vec<Change> {
     let mut out = Vec::new();
     let mut retained: Vec<TargetInfo> = Vec::new();
@@ -230,7 +231,7 @@
     out
 }
 
-/// Picks the holder to give up: in the data centre with most holders, the fullest target.
+/// Picks the holder to revoke: the fullest target in the data centre with the most holders.
 fn replica_to_revoke(retained: &[TargetInfo]) -> Option<usize> {
     (0..retained.len()).max_by_key(|i| {
         let target = &retained[*i];
@@ -245,8 +246,8 @@
         .count()
 }
 
-/// Finds the target for one more replica: the data centres with fewest holders first, and in
-/// those the least full of the candidates.
+/// Finds the target for one more replica: the least full candidate in the data centres with the fewest
+/// holders.
 fn find(
     opts: &Options,
     fleet: &Fleet,
@@ -269,13 +270,13 @@
     })
 }
 
-/// Picks the least full of a few targets of one data centre, found by hash.
+/// Picks the least full of a few targets of one data centre, which are found by hash.
 ///
-/// Each probe starts at a position given by the model's hash and walks on to the first target that
-/// fits. A walk is longer than a step or two only when most of the data centre is full or gone.
-/// Positions, and not the nearest hash as on a ring: a target behind a wide gap would be found far
-/// more often than others. That positions shift when a VM comes or goes does no harm, since holders
-/// stay where they are.
+/// Each probe starts at an index derived from the model's hash and scans to the first target that fits.
+/// The scan is longer than one or two targets only when most of the data centre is full or not live.
+/// Unlike on a hash ring, where a target after a wide gap is found far more often than others, every
+/// index is equally likely. Indexes shift when a VM is added or removed, which is harmless because
+/// holders stay in place.
 fn candidate<'a>(
     opts: &Options,
     fleet: &'a Fleet,
@@ -293,7 +294,7 @@
         let order = |t: &&TargetInfo| (t.fullness(), mix(model.name_hash, t.name_hash));
         return targets.iter().filter(fit).min_by_key(order);
     }
-    // Later replicas start elsewhere, or they would look at the targets of the first again.
+    // Later replicas start at other indexes, or they would examine the first replica's candidates again.
     let seed = mix(model.name_hash, retained.len() as u64);
     let probe = |n: u16| {
         let start = mix(seed, u64::from(n)) % targets.len() as u64;
--- a/crates/stair-policy/src/queue/forecast.rs
+++ b/crates/stair-policy/src/queue/forecast.rs
@@ -1,4 +1,4 @@
-//! How long an item would wait, from what waits now and what has arrived lately.
+//! Estimates the wait of an item from the waiting items and the recent arrivals.
 
 use std::time::Duration;
 
@@ -12,23 +12,23 @@
     tier::TierQueue, //
 };
 
-/// A tier is taken to have at least this part of the engine: arrivals change, and an estimate of
-/// no share at all would refuse it even when nothing waits.
+/// Least fraction of the engine assumed for a tier. Arrivals change, and a share of zero would refuse
+/// all items of the tier even when none waits.
 const MIN_SHARE: f64 = 0.02;
 
-/// Longest wait estimated: a day.
+/// Upper bound of estimated waits: a day.
 const MAX_WAIT_SECS: f64 = 86_400.0;
 
-/// What is left of the engine to a tier, in slots.
+/// A tier's share of the engine, in slots.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Share {
-    /// When it gets what higher tiers leave.
+    /// The share that higher tiers leave, less the floor shares of lower tiers with waiting items.
     by_rank: f64,
-    /// When it gets its floor share only.
+    /// The floor share.
     floor: f64,
 }
 
-/// Less than this is not late: seconds as floating point numbers are not exact.
+/// Lateness below this is rounding error of floating point seconds.
 const ROUNDING_SECS: f64 = 1e-6;
 
 fn seconds(d: Duration) -> f64 {
@@ -43,7 +43,8 @@
 where
     K: Copy + Eq,
 {
-    /// Returns how late the item, or one of its tier behind it, would be; zero when none is.
+    /// Returns the greatest lateness that admitting the item would cause, of the item itself or of a
+    /// later item of its tier; zero when there is none.
     pub(super) fn lateness(
         &self,
         now: Duration,
@@ -64,7 +65,7 @@
         let mut late = own_start + run + slack - seconds(item.deadline);
         for behind in &items[index..] {
             let (deadline, its_run) = (seconds(behind.deadline), seconds(behind.expected_run));
-            // An item that is late anyway is not a reason to refuse another.
+            // An item that would be late in any case is no reason to refuse another.
             if start(ahead, its_run) + its_run <= deadline {
                 late = late.max(start(ahead + run, its_run) + its_run - deadline);
             }
@@ -76,18 +77,18 @@
         }
     }
 
-    /// Time to spare that is asked of an item; none of one that does not wait.
+    /// Slack required of an item before its deadline, in seconds; at most its wait, so none without a
+    /// wait.
     fn slack(&self, run: f64, wait: f64) -> f64 {
         let slack = run * f64::from(self.opts.slack_percent) / 100.0;
         slack.min(wait)
     }
 
-    /// Returns the part of the engine that is left to a tier, in slots.
+    /// Returns the share of the engine that is left to a tier.
     ///
-    /// Work of higher tiers that arrives while an item waits goes ahead of it, and so does short
-    /// work of its own tier if the item is long. To look only at what waits now would admit the
-    /// lowest tier again and again, and tell it no at its deadline. What has arrived lately
-    /// stands for what will.
+    /// Work of higher tiers that arrives while an item waits runs before it, and so does short work of
+    /// its own tier if the item is long. With the waiting items alone, items of the lowest tier would
+    /// be admitted again and again and expire. Recent arrivals are the estimate of future ones.
     pub(super) fn share(&self, now: Duration, at: usize, long: bool, est: &Estimate) -> Share {
         let slots = est.slots();
         let higher: f64 = self.tiers[..at].iter().map(|l| l.inflow(now)).sum();
@@ -108,10 +109,11 @@
         }
     }
 
-    /// Returns the wait behind `own` work of a tier's own and all work of higher tiers that waits.
+    /// Returns the wait, in seconds, for `own` seconds of earlier work of the same tier and all waiting
+    /// work of higher tiers.
     ///
-    /// A tier with a floor never waits longer than that share takes to earn the work before the
-    /// item and its own `run`.
+    /// With a floor share, the wait is at most the time in which that share earns the earlier work of
+    /// the tier and the item's `run`.
     pub(super) fn wait_behind(&self, at: usize, own: f64, run: f64, share: &Share) -> f64 {
         let above: Duration = self.tiers[..at].iter().map(TierQueue::work).sum();
         let by_rank = (seconds(above) + own) / share.by_rank;
@@ -123,7 +125,7 @@
     }
 
     pub(super) fn refuse_full(&self, now: Duration, at: usize, est: &Estimate) -> Outcome<K> {
-        // Half of the work that is ahead has drained by then, so there is room again.
+        // By then half of the waiting work has drained, so the queue has capacity again.
         let share = self.share(now, at, false, est);
         let drain = self.wait_behind(at, seconds(self.tiers[at].work()), 0.0, &share) / 2.0;
         Outcome::Refused {
--- a/crates/stair-policy/src/queue/mod.rs
+++ b/crates/stair-policy/src/queue/mod.rs
@@ -1,10 +1,9 @@
 //! The queue in front of one engine: admission, order and expiry.
 //!
-//! The load it is made for: more work than the engine can finish, in three or so tiers, with
-//! long drafts and short look-ups mixed. The harms it prevents: work that is accepted and then
-//! finished too late, which takes capacity from work that could have been in time until nothing
-//! is (congestion collapse); paid priority that is ignored; a lowest tier that never runs; short
-//! work that waits behind long work.
+//! Requests that cannot finish by their deadline are refused at once: under overload they would take
+//! capacity from requests that can, until none finishes in time (congestion collapse). Tiers are served
+//! by rank, with a floor share so that the lowest tier is not starved, and within a tier short
+//! requests do not wait for long ones.
 
 mod forecast;
 mod tier;
@@ -29,7 +28,7 @@
 
 /// The requests that wait in front of one engine.
 ///
-/// Each pushed item leaves exactly once: popped, expired, displaced or removed.
+/// Each queued item leaves exactly once: popped, expired, displaced or removed.
 #[derive(Debug, Clone)]
 pub struct Queue<K> {
     opts: Options,
@@ -42,7 +41,7 @@
 where
     K: Copy + Eq,
 {
-    /// Makes an empty queue.
+    /// Creates an empty queue.
     pub fn new(opts: Options) -> Self {
         let tiers = opts.tiers.iter().map(|t| TierQueue::new(*t));
         let mut tiers: Vec<_> = tiers.collect();
@@ -57,37 +56,37 @@
         }
     }
 
-    /// Number of items that wait.
+    /// Number of waiting items.
     pub fn len(&self) -> usize {
         self.len
     }
 
-    /// Tells whether nothing waits.
+    /// Whether no item waits.
     pub fn is_empty(&self) -> bool {
         self.len == 0
     }
 
-    /// Bytes held by the items that wait.
+    /// Total bytes of the waiting items.
     pub fn bytes(&self) -> u64 {
         self.bytes
     }
 
-    /// Number of items of a tier that wait.
+    /// Number of waiting items of a tier.
     pub fn waiting(&self, rank: TierRank) -> usize {
         self.tiers[self.tier_of(rank)].items().len()
     }
 
-    /// Iterates over all items that wait, by tier and deadline.
+    /// Iterates over all waiting items, by tier and deadline.
     pub fn iter(&self) -> impl Iterator<Item = &Item<K>> {
         self.tiers.iter().flat_map(|l| l.items())
     }
 
     /// Admits an item or refuses it.
     ///
-    /// An item is refused when its expected finish lies after its deadline: running it would
-    /// spend capacity on an answer that nobody uses. It is refused as well when it would make an
-    /// item of its own tier late that was admitted before; a higher tier may do that to a lower
-    /// one, since that is what it pays for.
+    /// An item is refused when its expected end is after its deadline: running it would spend capacity
+    /// on a response that the client no longer uses. It is also refused when it would delay an
+    /// earlier item of its own tier beyond that item's deadline. A higher tier may delay a lower
+    /// one.
     pub fn push(&mut self, now: Duration, item: Item<K>, est: &Estimate) -> Outcome<K> {
         let at = self.tier_of(item.rank);
         let lateness = self.lateness(now, at, &item, est);
@@ -115,13 +114,13 @@
         Outcome::Queued { displaced: None }
     }
 
-    /// Takes the item that runs next, among those whose model is ready.
+    /// Removes and returns the item that runs next, among those whose model is ready.
     ///
-    /// Items that are too late are passed over; [`Queue::expire`] takes them out.
+    /// Items that can no longer finish in time are skipped; [`Queue::expire`] removes them.
     ///
-    /// Tiers are served by rank, except that a tier whose floor share has earned the run of its
-    /// own next item goes first: strict priority alone would starve the lowest tier for as long
-    /// as the higher ones are busy. Within a tier see [`Queue::pop_short`].
+    /// Tiers are served by rank, except that a tier goes first when its floor share has earned the run
+    /// of its next item: strict priority alone would starve the lowest tier while higher ones are
+    /// busy. Within a tier the earliest deadline goes first, or a shorter item that fits before it.
     pub fn pop<F>(&mut self, now: Duration, ready: F) -> Option<Item<K>>
     where
         F: Fn(ModelKey) -> bool,
@@ -129,13 +128,12 @@
         self.pop_where(now, |item| ready(item.model))
     }
 
-    /// As [`Queue::pop`], for short work only.
+    /// As [`Queue::pop`], for short items only.
     ///
-    /// An agent keeps some of its slots for short work and fills them through this call. When all
-    /// slots may be taken by drafts of a minute, a look-up waits for the first of them to end,
-    /// however it is ordered in the queue; slots of its own bound that wait to the run of other
-    /// look-ups. About an eighth of the slots covers short work that is a tenth of all; more would
-    /// idle.
+    /// An agent reserves some slots for short items and fills them through this call. Otherwise all
+    /// slots could be taken by items that run for a minute, and a short item would wait for the first
+    /// of them to end, whatever its place in the queue. About an eighth of the slots suffices when short
+    /// items are a tenth of the work; more would idle.
     pub fn pop_short<F>(&mut self, now: Duration, ready: F) -> Option<Item<K>>
     where
         F: Fn(ModelKey) -> bool,
@@ -165,7 +163,7 @@
         Some(item)
     }
 
-    /// Gives each tier that could have run its floor share of the work just started.
+    /// Credits each tier that had an eligible item with its floor share of the run just started.
     fn credit_floor_shares(&mut self, served: usize, picks: &[Position], run: Duration) {
         for pick in picks {
             self.tiers[pick.tier].earn(run);
@@ -173,10 +171,10 @@
         self.tiers[served].spend(run);
     }
 
-    /// Takes out all items that can no longer finish in time, even if they started now.
+    /// Removes all items that could not finish in time even if they started now, and returns their
+    /// keys.
     ///
-    /// They are to be told at once: a caller that knows early can still turn elsewhere, and an
-    /// answer after the deadline is worth nothing.
+    /// They are to be refused at once: a client that is refused early can still use another service.
     pub fn expire(&mut self, now: Duration) -> Vec<K> {
         let mut expired = Vec::new();
         for tier in &mut self.tiers {
@@ -189,14 +187,14 @@
         expired
     }
 
-    /// Returns when [`Queue::expire`] will next find an item, if nothing else happens.
+    /// Returns the time after which [`Queue::expire`] next finds an item, without further events.
     pub fn next_expiry(&self) -> Option<Duration> {
         self.iter()
             .map(|i| i.deadline.saturating_sub(i.expected_run))
             .min()
     }
 
-    /// Takes out one item, such as that of a caller who left.
+    /// Removes one item, for instance when its client has disconnected.
     pub fn remove(&mut self, key: K) -> Option<Item<K>> {
         for tier in 0..self.tiers.len() {
             let found = self.tiers[tier].items().iter().position(|i| i.key == key);
@@ -207,9 +205,9 @@
         None
     }
 
-    /// Returns how long a short item of a tier that arrived now would wait for a slot.
+    /// Returns the expected wait for a slot of a short item of a tier that arrives now.
     ///
-    /// Reported to the entries, which choose a target by it.
+    /// Entries receive it in reports and choose targets by it.
     pub fn expected_wait(&self, now: Duration, rank: TierRank, est: &Estimate) -> Duration {
         let at = self.tier_of(rank);
         let share = self.share(now, at, false, est);
@@ -218,10 +216,10 @@
         est.slot_free_in + forecast::bounded(self.wait_behind(at, own, short, &share))
     }
 
-    /// Finds room for an item, at the cost of the latest deadline of the lowest tier if need be.
+    /// Finds capacity for an item, or the item to displace for it: the one of the lowest tier with the
+    /// latest deadline and enough bytes.
     ///
-    /// That item is the one most likely to be late in any case, and its tier paid least. An item
-    /// never displaces one of its own tier: the earlier admission is a promise.
+    /// An item never displaces one of its own tier, since an admitted item has been promised to run.
     fn find_capacity(&self, at: usize, bytes: u32) -> Capacity {
         let bytes_left = self.opts.max_bytes.saturating_sub(self.bytes);
         let missing = u64::from(bytes).saturating_sub(bytes_left);
@@ -257,15 +255,17 @@
     }
 }
 
-/// Where an item stands.
+/// The position of a waiting item: the index of its tier and its index within the tier.
 #[derive(Debug, Clone, Copy)]
 struct Position {
     tier: usize,
     index: usize,
 }
 
+/// The capacity of a queue for one more item.
 enum Capacity {
     Free,
+    /// Capacity after the item at this position is displaced.
     Displace(Position),
     None,
 }
--- a/crates/stair-policy/src/queue/tier.rs
+++ b/crates/stair-policy/src/queue/tier.rs
@@ -1,4 +1,4 @@
-//! The items of one tier, by deadline, and the tier's claim to its floor share.
+//! The waiting items of one tier by deadline, and the tier's credit from its floor share.
 
 use std::time::Duration;
 
@@ -7,11 +7,11 @@
     TierOptions, //
 };
 
-/// A tier saves up its floor share for at most so much work. Without a bound, a tier whose models
-/// were all cold for minutes would then shut out the higher ones until it had caught up.
+/// Limit of a tier's credit. Without it, a tier whose models were all cold for minutes would then
+/// block the higher tiers until it had used up its credit.
 const MAX_CREDIT: Duration = Duration::from_secs(60);
 
-/// Shorter work is let ahead only while this part of the urgent item's run is left to spare.
+/// A shorter item goes first only if the urgent item still has its run divided by this as slack.
 const SLACK_DIVISOR: u32 = 4;
 
 #[derive(Debug, Clone)]
@@ -52,17 +52,17 @@
         u32::from(self.opts.floor_percent.min(100))
     }
 
-    /// The floor share as a part of the engine.
+    /// The floor share as a fraction of the engine.
     pub(super) fn floor(&self) -> f64 {
         f64::from(self.floor_percent()) / 100.0
     }
 
-    /// Work admitted lately, in slots: seconds of work a second.
+    /// Average rate of recently admitted work, in slots: seconds of work per second.
     pub(super) fn inflow(&self, now: Duration) -> f64 {
         self.inflow.at(now)
     }
 
-    /// The part of it that is short.
+    /// The rate of short items alone.
     pub(super) fn short_inflow(&self, now: Duration) -> f64 {
         self.short_inflow.at(now)
     }
@@ -71,7 +71,7 @@
         self.items.len() >= self.opts.max_waiting as usize
     }
 
-    /// Returns where an item with this deadline would stand.
+    /// Returns the index at which an item with this deadline is inserted.
     pub(super) fn index_of(&self, deadline: Duration) -> usize {
         self.items.partition_point(|i| i.deadline <= deadline)
     }
@@ -90,7 +90,7 @@
         let item = self.items.remove(index);
         self.work -= item.expected_run;
         if self.items.is_empty() {
-            // A tier with nothing waiting has no claim to save up.
+            // An empty tier does not accumulate credit.
             self.credit = Duration::ZERO;
         }
         item
@@ -114,12 +114,13 @@
         }
     }
 
-    /// Picks the next item: the earliest deadline, or a shorter one that fits before it.
+    /// Picks the next item: the one with the earliest deadline, or a shorter one that fits before it.
     ///
-    /// Earliest deadline first alone lets a draft of a minute with a near deadline hold up fifty
-    /// look-ups. The shortest item goes first if it runs at most half as long (less is not worth
-    /// the change of order) and if the one with the earliest deadline stays in time after it, with a quarter of its run to spare: a run is often longer than expected,
-    /// and a draft that always starts at the last moment would then always be late.
+    /// With the earliest deadline alone, one item that runs for a minute could delay fifty short ones. The
+    /// shortest item goes first if it runs at most half as long (a smaller gain is not worth the change
+    /// of order) and if the item with the earliest deadline can then still finish in time, with a
+    /// quarter of its run as slack. Runs are often longer than expected, and an item that always
+    /// starts at the last moment would then always be late.
     pub(super) fn pick<F>(&self, now: Duration, eligible: F) -> Option<usize>
     where
         F: Fn(&Item<K>) -> bool,
@@ -136,7 +137,7 @@
         Some(if fits { short } else { first })
     }
 
-    /// Tells whether the floor share has earned the run of the item at `index`.
+    /// Whether the floor share has earned the run of the item at `index`.
     pub(super) fn has_earned(&self, index: usize) -> bool {
         let run = self.items[index].expected_run;
         self.opts.floor_percent > 0 && self.credit >= run.min(MAX_CREDIT)
@@ -152,10 +153,10 @@
     }
 }
 
-/// Arrivals older than this count for little. Shorter would take each burst for a trend.
+/// Time constant of the arrival averages. A shorter one would treat each burst as a trend.
 const INFLOW_WINDOW_SECS: f64 = 20.0;
 
-/// A decaying average of work a second.
+/// A decaying average of the work that arrives per second.
 #[derive(Debug, Clone, Copy, Default)]
 struct Inflow {
     value: f64,
--- a/crates/stair-policy/src/queue/types.rs
+++ b/crates/stair-policy/src/queue/types.rs
@@ -1,4 +1,4 @@
-//! What a queue is given and what it answers.
+//! The parameters and results of a queue.
 
 use std::time::Duration;
 
@@ -8,31 +8,31 @@
     TierRank, //
 };
 
-/// Bounds of one queue.
+/// Limits of one queue.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Options {
-    /// Requests that may wait. Bounds the memory of the process and the time of one decision,
-    /// which walks the queue.
+    /// Requests that may wait. Limits the memory of the process and the time of one decision, which
+    /// scans the queue.
     pub max_requests: u32,
-    /// Bytes of bodies that may wait. A few large bodies would otherwise exhaust the agent's
-    /// memory long before `max_requests`.
+    /// Total bytes of the bodies that may wait. A few large bodies could otherwise exhaust the agent's
+    /// memory long before `max_requests` is reached.
     pub max_bytes: u64,
-    /// Work expected to run no longer than this is short.
+    /// Longest expected run of a short item.
     pub short_run: Duration,
-    /// Time that an admitted item has to spare, in percent of its expected run. Under saturation
-    /// every item starts as late as it was admitted for; without time to spare, each run that is
-    /// longer than expected is then late, and its slot time wasted.
+    /// Slack before the deadline that admission requires, in percent of the expected run. Under
+    /// saturation every item starts as late as admission allows; without slack, each run that is
+    /// longer than expected would be late and its slot time wasted.
     pub slack_percent: u16,
-    /// One entry a tier, by rank. A rank beyond the last uses the last.
+    /// The tiers by rank. A higher rank than the last uses the last tier.
     pub tiers: Vec<TierOptions>,
 }
 
-/// Bounds of one tier within a queue.
+/// Limits of one tier within a queue.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct TierOptions {
-    /// Requests of this tier that may wait. Keeps a burst of one tier from filling the queue.
+    /// Requests of this tier that may wait, so that a burst of one tier does not fill the queue.
     pub max_waiting: u32,
-    /// Share of the work that the tier gets at least while it has any waiting, in percent.
+    /// Least share of the engine's work, in percent, while the tier has waiting items.
     pub floor_percent: u8,
 }
 
@@ -57,41 +57,41 @@
     }
 }
 
-/// One request that waits.
+/// A waiting request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Item<K> {
-    /// The caller's handle of the request.
+    /// The handle by which the queue's user identifies the request.
     pub key: K,
     /// The rank of its tier.
     pub rank: TierRank,
-    /// When it must be finished.
+    /// Time by which it must be finished.
     pub deadline: Duration,
-    /// When it arrived.
+    /// Time of its arrival.
     pub arrived: Duration,
-    /// How long it is expected to hold a slot.
+    /// Time that it is expected to occupy a slot.
     pub expected_run: Duration,
-    /// Bytes that it holds while it waits.
+    /// Bytes that it occupies while it waits.
     pub bytes: u32,
     /// The model that it needs.
     pub model: ModelKey,
 }
 
 impl<K> Item<K> {
-    /// Tells whether the item could still finish in time if it started at `start`.
+    /// Whether the item would finish by its deadline if it started at `start`.
     pub(super) fn finishes_in_time(&self, start: Duration) -> bool {
         start + self.expected_run <= self.deadline
     }
 }
 
-/// What the engine is expected to do, as seen at the time of a decision.
+/// The engine's expected state at the time of a decision.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Estimate {
     /// Requests that the engine runs at once; 0 counts as 1.
     pub concurrency: u16,
-    /// Time until a slot is free; zero when one is free now.
+    /// Time until the next slot is free; zero when one is free now.
     pub slot_free_in: Duration,
-    /// Time until the item's model can run, such as the rest of a cold start. It passes while
-    /// the item waits, so it is not added to the wait in the queue.
+    /// Time until the item's model can run, for instance the rest of a cold start. It passes while the
+    /// item waits, so it is not added to the wait in the queue.
     pub ready_in: Duration,
 }
 
@@ -101,20 +101,20 @@
     }
 }
 
-/// What became of a pushed item.
+/// The result of pushing an item.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Outcome<K> {
-    /// It waits.
+    /// The item waits.
     Queued {
-        /// A waiting item of a lower tier that had to go. It has not run and is to be told now.
+        /// An item of a lower tier that was removed for it. It has not run and is to be refused now.
         displaced: Option<K>,
     },
-    /// It does not wait, and has not run.
+    /// The item was not queued and has not run.
     Refused {
-        /// Why.
+        /// The reason of the refusal.
         reason: Reason,
-        /// After how long it would be admitted if nothing else arrived. Spread it by
-        /// [`backoff::retry_after`](crate::backoff::retry_after) before a caller sees it.
+        /// Time after which the item would be admitted if no other arrived. To be spread by
+        /// [`backoff::retry_after`](crate::backoff::retry_after) before it is sent to a client.
         retry_after: Duration,
     },
 }
--- a/crates/stair-policy/src/retry.rs
+++ b/crates/stair-policy/src/retry.rs
@@ -1,20 +1,18 @@
-//! Bounds retries to a share of the requests.
+//! Limits retries to a fraction of the requests.
 //!
-//! The load it is made for: targets that fail or refuse many requests at once. The harm it
-//! prevents: each failure sent on as new work, so that a fleet that lost a tenth of its capacity
-//! gets twice the load and never recovers (a retry storm).
+//! Without a limit, each failed or refused request is sent again as new work, so that a fleet that has
+//! lost a tenth of its capacity gets twice the load and does not recover (a retry storm).
 
-/// Bounds of one budget.
+/// Limits of one budget.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Options {
-    /// Retries allowed for a hundred requests. A tenth covers a target that goes away with its
-    /// work, and adds no more than a tenth to a load that is too large already.
+    /// Retries allowed per hundred requests. A tenth covers the loss of a target with its requests, and
+    /// adds no more than a tenth to an overload.
     pub percent: u16,
-    /// Retries allowed before the requests that pay for them; those pay nothing afterwards until
-    /// the debt is settled. Without it the first requests of a process could not move on from a
-    /// target that is gone.
+    /// Retries allowed in advance of requests; the next requests repay them before they earn new ones.
+    /// Without it, the first requests of a process could not be retried after the loss of a target.
     pub advance: u16,
-    /// Unused retries are saved up to so many, lest an hour of quiet pay for a storm.
+    /// Limit of saved unused retries, so that a period without failures does not fund a retry storm.
     pub max_saved: u16,
 }
 
@@ -28,6 +26,7 @@
     }
 }
 
+/// Credit that a retry costs. A request earns `percent`.
 const RETRY_COST: u64 = 100;
 
 /// Counts requests and retries of one process.
@@ -41,7 +40,7 @@
 }
 
 impl Budget {
-    /// Makes a budget that may spend its advance.
+    /// Creates a budget with its advance available.
     pub fn new(opts: Options) -> Self {
         let advance = u64::from(opts.advance) * RETRY_COST;
         Self {
@@ -60,7 +59,7 @@
         self.credit = (self.credit + earned - repaid).min(max);
     }
 
-    /// Takes a retry from the budget, and tells whether it may be made.
+    /// Takes a retry from the budget; returns whether it may be made.
     pub fn try_retry(&mut self) -> bool {
         let allowed = self.credit >= RETRY_COST;
         if allowed {
@@ -69,7 +68,7 @@
         allowed
     }
 
-    /// Retries that could be made now.
+    /// Retries that are available now.
     pub fn available(&self) -> u64 {
         self.credit / RETRY_COST
     }
--- a/crates/stair-policy/src/traffic_weights.rs
+++ b/crates/stair-policy/src/traffic_weights.rs
@@ -1,30 +1,30 @@
-//! Takes share from slow or failing targets and gives it back.
+//! Reduces the traffic share of slow or failing targets, and restores it when they recover.
 //!
-//! The load it is made for: one target of many that became slow or fails, and the whole fleet slow
-//! under load. The harms it prevents: callers of one slow target waiting while others idle; the
-//! load of a slow target thrown onto the rest at once; a target that recovered and is never asked
-//! again; a fleet under load that takes itself out of service target by target.
+//! The weight of a target changes gradually, so that its load does not move to the others at once, and
+//! never falls to zero, so that its recovery is noticed.
 //!
-//! A target is compared with the median of all answers, not with a fixed time: when all are slow
-//! together the median is slow too, and nobody loses share.
+//! A target is compared with the median of all responses, not with a fixed time. When all targets are
+//! slow the median is slow too and no weight is reduced; otherwise a fleet under load would take
+//! itself out of service target by target.
 
 use std::time::Duration;
 
 use stair_types::TargetKey;
 
-/// Limits of the shift.
+/// Parameters of the weights.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Options {
-    /// A target's average may be so many times the median before it loses share. Below, the
-    /// difference is mostly that of the work.
+    /// Ratio of a target's average latency to the median up to which its weight is not reduced. Smaller
+    /// differences are mostly due to the requests.
     pub tolerated_ratio: f64,
-    /// Share that the worst target keeps. Enough to see it recover within a minute or so; half of
-    /// it made the recovery slower and p99 no better.
+    /// Least weight of a target, enough to notice its recovery within about a minute. Half of the default
+    /// slows the recovery down without a better p99 latency.
     pub min_weight: f32,
-    /// Weight of one observation in a target's average: about seven answers decide.
+    /// Weight of one observation in a target's averages. With the default, about seven responses
+    /// determine an average.
     pub smoothing: f64,
-    /// Part of the way to the share deserved that one observation moves. The load taken from one
-    /// target reaches the others over some answers, not at once.
+    /// Fraction of the distance to the deserved weight that one observation moves the weight, so that
+    /// the load of a target moves to the others over several responses.
     pub step_fraction: f32,
 }
 
@@ -39,25 +39,27 @@
     }
 }
 
-/// How a request ended at a target.
+/// The outcome of a request at a target.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Outcome {
-    /// It was answered.
+    /// The target responded.
     Completed,
-    /// The target or the link to it failed. Refusals are not failures: they are load.
+    /// The target or the connection to it failed. Refusals are due to load and do not count as
+    /// failures.
     Failed,
 }
 
 #[derive(Debug, Clone, Copy)]
 struct TargetStats {
     target: TargetKey,
-    /// Average of the logarithm of latency: one very slow answer counts, and does not decide.
+    /// Average of the logarithm of the latency in seconds, so that a single very slow response does not
+    /// dominate.
     log_latency: f64,
     fail_rate: f64,
     weight: f32,
 }
 
-/// The shares of the targets that one entry sends to.
+/// The weights of the targets that one entry sends to.
 #[derive(Debug, Clone)]
 pub struct TrafficWeights {
     opts: Options,
@@ -68,7 +70,7 @@
 }
 
 impl TrafficWeights {
-    /// Makes a state in which all targets have their full share.
+    /// Creates a state in which all targets have the full weight.
     pub fn new(opts: Options) -> Self {
         Self {
             opts,
@@ -78,11 +80,11 @@
         }
     }
 
-    /// Notes how a request went.
+    /// Records the outcome of a request.
     ///
-    /// `latency` is the time to the first token beyond the wait that the target itself reported,
-    /// so that a queue or a cold start does not count as slowness. Latency of a failure is not
-    /// used: many failures are fast.
+    /// `latency` is the time to the first token minus the wait that the target reported, so that a queue
+    /// or a cold start does not count as slowness. The latency of a failure is not used, since many
+    /// failures are fast.
     pub fn observe(&mut self, target: TargetKey, latency: Duration, outcome: Outcome) {
         let failed = f64::from(u8::from(outcome == Outcome::Failed));
         let log = latency.max(MIN_LATENCY).as_secs_f64().ln();
@@ -101,20 +103,21 @@
         state.weight += (deserved_weight - state.weight) * self.opts.step_fraction;
     }
 
-    /// Returns the target's share: 1 is the full one. A target not seen has it.
+    /// Returns the weight of a target; 1, the full weight, without observations.
     pub fn weight(&self, target: TargetKey) -> f32 {
         let at = self.states.binary_search_by_key(&target, |s| s.target);
         at.map_or(1.0, |i| self.states[i].weight.max(self.opts.min_weight))
     }
 
-    /// Forgets a target that has gone or has a new incarnation.
+    /// Drops the state of a target that was removed or has a new incarnation.
     pub fn forget(&mut self, target: TargetKey) {
         if let Ok(at) = self.states.binary_search_by_key(&target, |s| s.target) {
             self.states.remove(at);
         }
     }
 
-    /// Share by how many times slower than tolerated, and by failures beyond those of all.
+    /// Weight by the ratio to the tolerated latency, and by the failure rate in excess of that of all
+    /// targets.
     fn deserved_weight(&self, state: &TargetStats) -> f32 {
         let median = self.median.as_ref().map_or(state.log_latency, |m| m.value);
         let excess = state.log_latency - median - self.opts.tolerated_ratio.ln();
@@ -143,20 +146,21 @@
     }
 }
 
-/// Power with which the share falls beyond the tolerated ratio: a target three times slower than the
-/// others is down to the trickle. With half of it such a target kept enough to raise p99 by 8%.
+/// Exponent of the weight's decrease beyond the tolerated ratio. A target three times slower than the
+/// others is reduced to the least weight; with half the exponent it gets enough traffic to raise p99 by
+/// 8%.
 const LATENCY_EXPONENT: f64 = 6.0;
 
-/// Latencies below this are not told apart; also guards the logarithm of zero.
+/// Lower bound of latencies; also prevents the logarithm of zero.
 const MIN_LATENCY: Duration = Duration::from_micros(100);
 
-/// How far one observation moves the median, in logarithm: 5%. Twice slower is followed within
-/// some fifteen answers.
+/// Step of the median per observation, in logarithm: 5%. A doubling of the latency is followed within
+/// about fifteen responses.
 const MEDIAN_STEP: f64 = 0.05;
 
-/// A running median in constant memory: each observation moves it one step towards itself.
+/// A running median in constant memory: each observation moves it by at most one step.
 ///
-/// A mean would move with the one slow target and hide it.
+/// A mean would be raised by a single slow target and hide it.
 #[derive(Debug, Clone, Copy)]
 struct Median {
     value: f64,
--- a/crates/stair-policy/tests/choose.rs
+++ b/crates/stair-policy/tests/choose.rs
@@ -76,8 +76,8 @@
     assert_eq!(keys(&[busy, loaded(1, 100)]), [1, 0]);
 }
 
-// The model is loaded on a busy target and cold on an idle one. Waiting half a second beats a
-// cold start of twenty, and a queue of a minute does not.
+// The model is loaded on a busy target and not on an idle one. A wait of half a second is better than a
+// cold start of 20 s, a wait of a minute is worse.
 #[test]
 fn cold_weighed() {
     let cold = Candidate {
@@ -112,8 +112,8 @@
     assert_eq!(keys(&[far, loaded(1, 0)]), [1, 0]);
 }
 
-// All entries hold the same old report, in which one target looks idle. If each of them ran to
-// that one, its callers would wait while the others idled.
+// All entries have the same stale report, in which one target is idle. If all of them chose it, its
+// requests would wait while the other targets were idle.
 #[test]
 fn stale_spreads() {
     let all = [stale(0, 0), stale(1, 10), stale(2, 20), stale(3, 900)];
@@ -123,7 +123,7 @@
     assert!(counts[3] < 400, "{counts:?}");
 }
 
-// Every report is minutes old. What waited then has long been worked off, and all look alike.
+// All reports are minutes old. The reported queues have drained since, so all candidates rank the same.
 #[test]
 fn old_wait_fades() {
     let old = |key, wait| Candidate {
@@ -134,8 +134,8 @@
     assert!((1_800..2_200).contains(&counts[0]), "{counts:?}");
 }
 
-// One target answers slowly. It keeps a trickle, so that its recovery is seen: a tenth of its
-// fair half, although with so little in flight it always looks best.
+// A slow target with weight 0.1 gets a tenth of its fair half, so that its recovery is noticed, although
+// it always ranks first with so little in flight.
 #[test]
 fn weight_is_share() {
     let slow = Candidate {
--- a/crates/stair-policy/tests/keep_alive.rs
+++ b/crates/stair-policy/tests/keep_alive.rs
@@ -1,4 +1,4 @@
-//! How long an idle model stays loaded.
+//! The keep-alive time of idle models.
 
 use std::time::Duration;
 
@@ -26,7 +26,7 @@
     })
 }
 
-/// Uses the model at each of the gaps in turn, and returns how long it is kept afterwards.
+/// Requests the model after each of the gaps, and returns its keep-alive time after the last one.
 fn kept_after(keep_alive: &mut KeepAlive, gaps: impl IntoIterator<Item = u64>) -> Duration {
     let mut now = secs(0);
     keep_alive.used(MODEL, now);
@@ -48,8 +48,8 @@
     assert_eq!(kept_after(&mut keep_alive(1_000.0), []), secs(600));
 }
 
-// An editor asks every half minute. Keeping for the break-even time of twenty seconds would pay
-// for the idle time and for the cold start each time.
+// Requests come every 30 s. The break-even time of 20 s would cost both the idle time and a cold start
+// for each of them.
 #[test]
 fn rhythm_learned() {
     let kept = kept_after(&mut keep_alive(1.0), [30; 20]);
@@ -58,13 +58,13 @@
     assert!((secs(30)..secs(60)).contains(&kept), "{kept:?}");
 }
 
-// A model is asked for once in twenty minutes. Keeping it would only hold memory.
+// Requests come every 20 minutes. Keeping the model loaded would only occupy memory.
 #[test]
 fn rare_let_go() {
     assert_eq!(kept_after(&mut keep_alive(1.0), [1_200; 20]), secs(5));
 }
 
-// Requests come eight seconds apart in bursts, and the bursts twenty minutes apart.
+// Requests come in bursts, 8 s apart within a burst, with 20 minutes between bursts.
 #[test]
 fn bursts_kept_through() {
     let gaps = (0..600).map(|n| if n % 10 == 9 { 1_200 } else { 8 });
@@ -80,7 +80,7 @@
     assert!(kept >= secs(30), "{kept:?}");
 }
 
-// The checkpoint is in the host's memory, so that loading again takes a second.
+// The model's weights are in the host's memory, so a reload takes only a second.
 #[test]
 fn cheap_let_go() {
     let keep_alive = keep_alive(2.0);
@@ -92,7 +92,7 @@
     assert_eq!(until, secs(105));
 }
 
-// An adapter holds a twentieth of the accelerator, so it is kept twenty times as long.
+// An adapter occupies a twentieth of the accelerator, so it is kept twenty times as long.
 #[test]
 fn small_kept() {
     let keep_alive = keep_alive(1.0);
--- a/crates/stair-policy/tests/load_slots.rs
+++ b/crates/stair-policy/tests/load_slots.rs
@@ -1,4 +1,4 @@
-//! The turns of loads at the weight store.
+//! The load slots of the weight store.
 
 use std::time::Duration;
 
@@ -36,7 +36,7 @@
     assert!(t.next(ms(500)).is_some());
 }
 
-// The store slows down and loads take ten times as long. Starting more would slow all of them.
+// The store slows down and loads take ten times as long. More concurrent loads would slow down all.
 #[test]
 fn running_bounded() {
     let mut t = turns();
@@ -63,8 +63,8 @@
     assert_eq!(t.next(ms(500)), Some(2));
 }
 
-// A clerk's check joins a load that a draft is waiting for. The load becomes as urgent as the
-// check, and is still one load.
+// An urgent request needs a model whose load already waits for a less urgent one. The load becomes more
+// urgent and stays a single one.
 #[test]
 fn urgency_raised() {
     let mut t = turns();
@@ -75,7 +75,7 @@
     assert_eq!(t.next(ms(0)), Some(2));
 }
 
-// An agent dies in the middle of a load and tells nobody. Others wait for its turn.
+// An agent dies during a load and does not end its lease. Other loads wait for the slot.
 #[test]
 fn dead_holder() {
     let mut t = turns();
@@ -100,8 +100,8 @@
     assert_eq!(t.next_at(), None);
 }
 
-// Models of the highest tier wake faster than the store can load them. A caller of the lowest
-// tier waits, and is served in the end.
+// Models of the highest tier start cold faster than the store can load them. A load of the lowest tier
+// waits, and is not starved.
 #[test]
 fn lowest_loaded() {
     let mut t = turns();
--- a/crates/stair-policy/tests/placement.rs
+++ b/crates/stair-policy/tests/placement.rs
@@ -79,8 +79,8 @@
     assert_eq!(plan(&fleet, &model(1, 3, &grants)), []);
 }
 
-// A VM leaves. Its grant is revoked, and the replacement waits until the grant is surely gone:
-// the model may still be loaded there, and a replacement would be one replica too many.
+// A VM drains. Its grant is revoked, and the replacement waits until the unload is confirmed: the model
+// may still be loaded there, and a replacement would exceed the number of replicas.
 #[test]
 fn leaving_replaced() {
     let mut fleet = fleet(18, 3);
@@ -125,7 +125,7 @@
     assert!(most * 10 <= mean * 13, "{most} against a mean of {mean}");
 }
 
-// A model larger than most VMs. A grant to a VM that cannot hold it would refuse every request.
+// The model needs more memory than most VMs have. A VM too small for it would refuse every request.
 #[test]
 fn small_skipped() {
     let mut all: Vec<_> = (0..200).map(|k| target(k, 0)).collect();
@@ -137,7 +137,7 @@
     assert_eq!(keys, [TargetKey(0)]);
 }
 
-// A tenth of the VMs is replaced. Only the grants of those move.
+// A tenth of the VMs is replaced. Only their grants move.
 #[test]
 fn little_moves() {
     let before = fleet(100, 4);
@@ -154,8 +154,8 @@
 }
 
 proptest! {
-    // Targets come and go, and the replicas are changed. Were a grant given before another was
-    // confirmed as gone, more replicas would be loaded than were decided.
+    // Targets drain, and the number of replicas changes. If a replacement were granted before the unload
+    // of a revoked grant is confirmed, more replicas than declared could be loaded.
     #[test]
     fn replicas_bounded(
         replicas in 0..6_u16,
--- a/crates/stair-policy/tests/queue.rs
+++ b/crates/stair-policy/tests/queue.rs
@@ -23,7 +23,7 @@
     ready_in: Duration::ZERO,
 };
 
-/// Times told to the refused are worked out with floating point numbers.
+/// Tolerance for retry times, which are computed in floating point.
 const ROUNDING: Duration = Duration::from_micros(10);
 
 fn ms(n: u64) -> Duration {
@@ -104,8 +104,8 @@
     assert_eq!(drain(&mut q), [2, 3, 1]);
 }
 
-// A draft of twenty seconds is first in line and has time; a clerk's look-up comes after it. The
-// clerk would wait through the whole draft if the order were by deadline alone.
+// An item of 20 s with time to spare comes before a short one by deadline. By deadline alone, the short
+// one would wait for the whole run.
 #[test]
 fn short_first() {
     let mut q = queue(10, &[0]);
@@ -114,7 +114,7 @@
     assert_eq!(drain(&mut q), [2, 1]);
 }
 
-// A draft has no time to spare. Letting a look-up ahead would make the draft late.
+// A long item has no slack. Running a short one first would make it late.
 #[test]
 fn urgent_first() {
     let mut q = queue(10, &[0]);
@@ -132,8 +132,8 @@
     assert_eq!(q.pop_short(ms(0), |_| true).map(|i| i.key), Some(2));
 }
 
-// The engine is busy for longer than the caller will wait. The caller is told now, not after its
-// deadline, and told how much later there would have been room.
+// The engine is busy until after the item's deadline. The item is refused at once, with the time by
+// which it would have been late.
 #[test]
 fn late_refused() {
     let mut q = queue(10, &[0]);
@@ -152,7 +152,7 @@
     assert_eq!(refusal(outcome).0, Reason::WouldMissDeadline);
 }
 
-// The model is cold and loading takes longer than the caller will wait.
+// The model is cold and its load ends too late for the deadline.
 #[test]
 fn cold_refused() {
     let mut q = queue(10, &[0]);
@@ -179,8 +179,8 @@
     assert_eq!(popped.map(|i| i.key), Some(2));
 }
 
-// The queue is full of the lowest tier when a paying caller arrives. The one told to go is the
-// one with the most distant deadline.
+// The queue is full of items of the lowest tier when one of a higher tier arrives. The item with the
+// latest deadline is displaced.
 #[test]
 fn lowest_displaced() {
     let mut q = queue(2, &[0, 0]);
@@ -213,7 +213,7 @@
     assert_eq!(q.bytes(), 350);
 }
 
-// The highest tier alone could keep the engine busy for ever. The lowest still gets its share.
+// The highest tier has enough work to keep the engine busy. The lowest still gets its floor share.
 #[test]
 fn floor_share() {
     let mut q = queue(1_000, &[0, 10]);
@@ -249,8 +249,8 @@
     assert!(low >= ms(800) && low < ms(820), "{low:?}");
 }
 
-// The highest tier has kept the engine busy for a minute. Nothing waits at this moment, but work
-// of the lowest tier would be overtaken until its deadline; its caller is told now.
+// The highest tier has kept the engine busy for a minute. No item waits now, but an item of the lowest
+// tier would be overtaken until its deadline, so it is refused at once.
 #[test]
 fn arrivals_foreseen() {
     let mut q = queue(100, &[0, 0]);
@@ -292,8 +292,8 @@
 }
 
 proptest! {
-    // Each request that was taken in leaves once, and is told once. One that left twice would be
-    // run twice; one that never left would wait for ever.
+    // Each queued item leaves exactly once. An item that left twice would run twice; one that never left
+    // would wait forever.
     #[test]
     fn leaves_once(steps in steps()) {
         let mut q = queue(12, &[0, 10, 5]);
--- a/crates/stair-policy/tests/retry.rs
+++ b/crates/stair-policy/tests/retry.rs
@@ -1,4 +1,4 @@
-//! The retry budget and the time told to the refused.
+//! The retry budget, and the retry delay of refused requests.
 
 use std::time::Duration;
 
@@ -14,7 +14,7 @@
     },
 };
 
-/// Retries made when each of `requests` fails and each retry fails too.
+/// Returns the number of retries when all `requests` and all their retries fail.
 fn storm(requests: u32) -> u32 {
     let mut budget = Budget::new(Options::default());
     let mut retries = 0;
@@ -27,7 +27,7 @@
     retries
 }
 
-// Every target fails every request. Without a budget each failure would become new load.
+// Every target fails every request. Without a budget each failure would add new load.
 #[test]
 fn tenth_at_most() {
     for requests in [100, 101, 999, 10_000] {
@@ -35,13 +35,13 @@
     }
 }
 
-// The first request of a new entry meets a target that is gone, and moves on.
+// The first request of a new entry fails at a lost target and is retried elsewhere.
 #[test]
 fn advance_given() {
     assert_eq!(storm(1), 10);
 }
 
-// An hour without failures saves up a bounded number of retries.
+// Requests without failures save up a limited number of retries.
 #[test]
 fn savings_bounded() {
     let mut budget = Budget::new(Options::default());
@@ -61,8 +61,8 @@
     }
 }
 
-// A thousand are refused at once with the same expected drain. Were all told the same time, they
-// would come back together and most would be refused again.
+// A thousand requests are refused at once with the same expected drain time. With the same delay they
+// would return together, and most would be refused again.
 #[test]
 fn refused_spread() {
     let mut tenths = [0; 10];
--- a/crates/stair-policy/tests/traffic_weights.rs
+++ b/crates/stair-policy/tests/traffic_weights.rs
@@ -1,4 +1,4 @@
-//! Shares of slow and failing targets.
+//! The weights of slow and failing targets.
 
 use std::time::Duration;
 
@@ -19,7 +19,7 @@
     TrafficWeights::new(Options::default())
 }
 
-/// Lets each target answer `rounds` times, at a latency given by its number.
+/// Has each target respond `rounds` times, with a latency in milliseconds by its number.
 fn run<F>(s: &mut TrafficWeights, rounds: u32, latency: F)
 where
     F: Fn(u32) -> u64,
@@ -40,7 +40,8 @@
     assert_eq!(weights(&traffic_weights()), [1.0; TARGETS as usize]);
 }
 
-// One target answers ten times slower than the others. Its callers would wait while others idle.
+// One target responds ten times slower than the others. With a full share, its requests would wait while
+// the other targets are idle.
 #[test]
 fn slow_loses() {
     let mut s = traffic_weights();
@@ -50,7 +51,7 @@
     assert!(s.weight(TargetKey(5)) > 0.99, "{:?}", weights(&s));
 }
 
-// The share goes step by step, so that the others are not hit by all of it at once.
+// The weight falls step by step, so that the target's load does not move to the others at once.
 #[test]
 fn gradual_loss() {
     let mut s = traffic_weights();
@@ -72,7 +73,8 @@
     assert!(s.weight(TargetKey(4)) > 0.95, "{:?}", weights(&s));
 }
 
-// The whole fleet becomes ten times slower under load. Taking targets out would make it worse.
+// The whole fleet becomes ten times slower under load. Less traffic to some targets would overload the
+// others.
 #[test]
 fn all_slow() {
     let mut s = traffic_weights();
@@ -96,7 +98,7 @@
     assert!(s.weight(TargetKey(3)) > 0.9, "{:?}", weights(&s));
 }
 
-// Everything fails, such as when the platform's network is down. No target is to blame.
+// All requests fail, for instance when the platform's network is down. No target is the cause.
 #[test]
 fn all_failing() {
     let mut s = traffic_weights();
