--- a/crates/stair-policy/examples/measure/cost.rs
+++ b/crates/stair-policy/examples/measure/cost.rs
@@ -204,17 +204,17 @@
         loads_per_second: 1e9,
         ..Default::default()
     });
-    let ask = |t: &mut LoadSlots<u32>, key: u32| {
+    let request = |t: &mut LoadSlots<u32>, key: u32| {
         let deadline = Duration::from_millis(u64::from(key * 7_919 % 60_000));
         t.request(Duration::ZERO, key, TierRank((key % 3) as u8), deadline);
     };
-    (0..waiting).for_each(|key| ask(&mut t, key));
+    (0..waiting).for_each(|key| request(&mut t, key));
     let mut now = Duration::ZERO;
     let cost = nanos(|_| {
         now += Duration::from_nanos(2);
         if let Some(key) = t.next(now) {
             t.done(key);
-            ask(&mut t, key);
+            request(&mut t, key);
         }
     });
     line(
--- a/crates/stair-policy/examples/measure/dispatch.rs
+++ b/crates/stair-policy/examples/measure/dispatch.rs
@@ -43,7 +43,7 @@
     /// The choice under test without weights; the slow target is never chosen while it is slow.
     Oracle,
     /// Always the affinity target of the prompt's prefix.
-    Home,
+    AffinityTarget,
     /// The choice under test with affinity.
     Affinity,
     /// The choice under test without weights.
@@ -61,7 +61,7 @@
     pub(crate) targets: usize,
     pub(crate) slots: usize,
     pub(crate) load: f64,
-    pub(crate) report_every: f64,
+    pub(crate) report_interval: f64,
     pub(crate) slow: Slow,
     /// Number of prefixes, one of which each prompt begins with; 0 for none.
     pub(crate) prefixes: usize,
@@ -121,13 +121,13 @@
 struct Entry {
     rng: StdRng,
     in_flight: Vec<u16>,
-    turn: usize,
+    next_target: usize,
     traffic_weights: TrafficWeights,
     paper: Detector,
 }
 
 /// A response in transit: its arrival at an entry, the entry, the target and the run.
-struct Answer {
+struct Response {
     at: f64,
     entry: usize,
     target: usize,
@@ -139,7 +139,7 @@
     rule: Rule,
     targets: Vec<Target>,
     entries: Vec<Entry>,
-    answers: VecDeque<Answer>,
+    responses: VecDeque<Response>,
     report: Report,
 }
 
@@ -178,12 +178,12 @@
             got: 0,
             reported_wait: 0.0,
             // Targets do not report at the same moment.
-            reported_at: -scenario.report_every * t as f64 / scenario.targets as f64,
+            reported_at: -scenario.report_interval * t as f64 / scenario.targets as f64,
         });
         let entries = (0..scenario.entries).map(|e| Entry {
             rng: StdRng::seed_from_u64(e as u64),
             in_flight: vec![0; scenario.targets],
-            turn: e,
+            next_target: e,
             traffic_weights: TrafficWeights::new(WeightOptions::default()),
             paper: Detector::new(scenario.targets, rule.mean()),
         });
@@ -192,7 +192,7 @@
             rule,
             targets: targets.collect(),
             entries: entries.collect(),
-            answers: VecDeque::new(),
+            responses: VecDeque::new(),
             report: Report {
                 latency: Samples::new(),
                 latency_slow: Samples::new(),
@@ -209,8 +209,8 @@
 
     /// Delivers the responses that are due to their entries.
     fn deliver(&mut self, now: f64) {
-        while self.answers.front().is_some_and(|a| a.at <= now) {
-            let Some(a) = self.answers.pop_front() else {
+        while self.responses.front().is_some_and(|a| a.at <= now) {
+            let Some(a) = self.responses.pop_front() else {
                 break;
             };
             let entry = &mut self.entries[a.entry];
@@ -229,7 +229,7 @@
 
     fn publish(&mut self, now: f64) {
         for t in &mut self.targets {
-            if now - t.reported_at >= self.scenario.report_every {
+            if now - t.reported_at >= self.scenario.report_interval {
                 t.reported_at = now;
                 t.reported_wait = t.wait(now);
             }
@@ -248,14 +248,14 @@
         t.slots[slot] = start + run;
         self.entries[entry].in_flight[target] += 1;
         let at = start + run;
-        let answer = Answer {
+        let response = Response {
             at,
             entry,
             target,
             run,
         };
-        let index = self.answers.partition_point(|a| a.at <= at);
-        self.answers.insert(index, answer);
+        let index = self.responses.partition_point(|a| a.at <= at);
+        self.responses.insert(index, response);
         self.note(now, target, at - now);
     }
 
@@ -299,21 +299,21 @@
         }
     }
 
-    fn home(&self, prefix: usize) -> Option<usize> {
+    fn affinity_of(&self, prefix: usize) -> Option<usize> {
         let targets = (0..self.scenario.targets as u32).map(|t| (TargetKey(t), u64::from(t)));
         affinity_target(prefix as u64, targets).map(|k| k.0 as usize)
     }
 
     fn pick(&mut self, now: f64, entry: usize, prefix: Option<usize>) -> usize {
-        let home = prefix.and_then(|p| self.home(p));
+        let affinity = prefix.and_then(|p| self.affinity_of(p));
         let avoid = self.rule == Rule::Oracle && self.is_slow(now);
         let reported = |t: usize| self.targets[t].reported_wait;
         let e = &mut self.entries[entry];
         let all = 0..self.scenario.targets;
         match self.rule {
             Rule::RoundRobin => {
-                e.turn += 1;
-                e.turn % self.scenario.targets
+                e.next_target += 1;
+                e.next_target % self.scenario.targets
             }
             Rule::LeastReported => all
                 .min_by(|a, b| reported(*a).total_cmp(&reported(*b)))
@@ -323,7 +323,7 @@
                 let turned = all.map(|t| (t + from) % self.scenario.targets);
                 turned.min_by_key(|t| e.in_flight[*t]).unwrap_or(0)
             }
-            Rule::Home => home.unwrap_or(0),
+            Rule::AffinityTarget => affinity.unwrap_or(0),
             Rule::Oracle
             | Rule::Affinity
             | Rule::Choose
@@ -338,7 +338,7 @@
                         report_age: secs(now - self.targets[t].reported_at),
                         in_flight: e.in_flight[t],
                         cold_start: secs(0.0),
-                        prefix_affinity: self.rule == Rule::Affinity && home == Some(t),
+                        prefix_affinity: self.rule == Rule::Affinity && affinity == Some(t),
                         same_data_centre: true,
                         weight: e.weight(self.rule, t),
                     })
--- a/crates/stair-policy/examples/measure/engine.rs
+++ b/crates/stair-policy/examples/measure/engine.rs
@@ -47,31 +47,31 @@
 }
 
 /// The results of one class of requests.
-pub(crate) struct Seen {
+pub(crate) struct ClassResults {
     pub(crate) offered: u64,
     pub(crate) in_time: u64,
     pub(crate) refused: u64,
     /// From arrival to start, of those that ran.
     pub(crate) wait: Samples,
     /// From arrival to refusal, of those that did not run.
-    pub(crate) told: Samples,
+    pub(crate) refused_after: Samples,
 }
 
-impl Seen {
+impl ClassResults {
     fn new() -> Self {
         Self {
             offered: 0,
             in_time: 0,
             refused: 0,
             wait: Samples::new(),
-            told: Samples::new(),
+            refused_after: Samples::new(),
         }
     }
 }
 
 /// The results of a run.
 pub(crate) struct Report {
-    pub(crate) seen: Vec<Seen>,
+    pub(crate) by_class: Vec<ClassResults>,
     /// Slot seconds spent on responses in time.
     pub(crate) useful: f64,
     /// Slot seconds spent on responses after the deadline.
@@ -113,7 +113,7 @@
         slots: (0..slots).map(|_| idle()).collect(),
         now: -1.0,
         report: Report {
-            seen: (0..class_count).map(|_| Seen::new()).collect(),
+            by_class: (0..class_count).map(|_| ClassResults::new()).collect(),
             useful: 0.0,
             wasted: 0.0,
             span: jobs.last().map_or(0.0, |j| j.arrived),
@@ -225,18 +225,18 @@
             true => self.report.useful += j.run,
             false => self.report.wasted += j.run,
         }
-        let seen = &mut self.report.seen[(self.classes)(&j)];
-        seen.offered += 1;
-        seen.in_time += u64::from(in_time);
-        seen.wait.add(now - j.arrived);
+        let results = &mut self.report.by_class[(self.classes)(&j)];
+        results.offered += 1;
+        results.in_time += u64::from(in_time);
+        results.wait.add(now - j.arrived);
     }
 
     fn refuse(&mut self, job: usize, now: f64) {
         let j = &self.jobs[job];
-        let seen = &mut self.report.seen[(self.classes)(j)];
-        seen.offered += 1;
-        seen.refused += 1;
-        seen.told.add(now - j.arrived);
+        let results = &mut self.report.by_class[(self.classes)(j)];
+        results.offered += 1;
+        results.refused += 1;
+        results.refused_after.add(now - j.arrived);
     }
 }
 
--- a/crates/stair-policy/examples/measure/idle.rs
+++ b/crates/stair-policy/examples/measure/idle.rs
@@ -35,7 +35,7 @@
     models: usize,
     adapters: usize,
     /// Whether each model has a regular request interval.
-    rhythm: bool,
+    regular: bool,
 }
 
 /// A model or an adapter with its requests. Times are in seconds.
@@ -43,7 +43,7 @@
     cold_start: f64,
     /// Fraction of an accelerator that it occupies.
     size: f64,
-    asked: Vec<f64>,
+    arrivals: Vec<f64>,
 }
 
 impl Demand {
@@ -90,8 +90,8 @@
     let one = |n: usize| {
         let adapter = n >= catalogue.models;
         let place = if adapter { n - catalogue.models } else { n };
-        let quiet = 600.0 * (place + 1) as f64;
-        let rhythm = rng.random_range(10.0..180.0);
+        let mean_idle = 600.0 * (place + 1) as f64;
+        let gap = rng.random_range(10.0..180.0);
         Demand {
             cold_start: if adapter {
                 rng.random_range(1.0..4.0)
@@ -99,27 +99,27 @@
                 rng.random_range(5.0..40.0)
             },
             size: if adapter { 0.05 } else { 1.0 },
-            asked: sessions(&mut rng, quiet, rhythm, catalogue.rhythm),
+            arrivals: sessions(&mut rng, mean_idle, gap, catalogue.regular),
         }
     };
     (0..count).map(one).collect()
 }
 
-fn sessions(rng: &mut StdRng, quiet: f64, gap: f64, rhythm: bool) -> Vec<f64> {
-    let mut asked = Vec::new();
-    let mut now = exponential(rng, quiet);
+fn sessions(rng: &mut StdRng, mean_idle: f64, gap: f64, regular: bool) -> Vec<f64> {
+    let mut arrivals = Vec::new();
+    let mut now = exponential(rng, mean_idle);
     while now < SPAN {
         let requests = rng.random_range(5..60);
         for _ in 0..requests {
-            asked.push(now);
-            now += match rhythm {
+            arrivals.push(now);
+            now += match regular {
                 true => gap * rng.random_range(0.3..1.7),
                 false => exponential(rng, gap),
             };
         }
-        now += exponential(rng, quiet);
+        now += exponential(rng, mean_idle);
     }
-    asked
+    arrivals
 }
 
 fn run(demand: &[Demand], rule: Rule) -> Report {
@@ -141,23 +141,23 @@
         let model = ModelKey(n as u32);
         let mut kept_until = 0.0;
         let mut last = 0.0;
-        for asked in d.asked.iter().copied() {
-            keep_alive.used(model, secs(asked));
-            let cold = asked > kept_until;
+        for arrival in d.arrivals.iter().copied() {
+            keep_alive.used(model, secs(arrival));
+            let cold = arrival > kept_until;
             report.cold.add(if cold { d.cold_start } else { 0.0 });
             if cold {
                 report.loads += 1;
                 report.cold_seconds += d.cold_start;
             }
-            report.idle_hours += (asked.min(kept_until) - last).max(0.0) * d.size / 3_600.0;
-            last = asked;
+            report.idle_hours += (arrival.min(kept_until) - last).max(0.0) * d.size / 3_600.0;
+            last = arrival;
             kept_until = match rule {
-                Rule::Fixed(t) => asked + t,
+                Rule::Fixed(t) => arrival + t,
                 Rule::SkiRental(weight) => {
-                    asked + (weight * d.cold_start / d.size).clamp(5.0, MAX_IDLE)
+                    arrival + (weight * d.cold_start / d.size).clamp(5.0, MAX_IDLE)
                 }
                 Rule::Histogram(_) => keep_alive
-                    .idle_until(model, secs(asked), &d.cost())
+                    .idle_until(model, secs(arrival), &d.cost())
                     .as_secs_f64(),
             };
         }
@@ -191,19 +191,19 @@
             name: "Ordbrygga, 30 + 55",
             models: 30,
             adapters: 55,
-            rhythm: true,
+            regular: true,
         },
         Catalogue {
             name: "Gawahi, 33 + 115",
             models: 33,
             adapters: 115,
-            rhythm: true,
+            regular: true,
         },
         Catalogue {
             name: "30 + 55, no regular interval",
             models: 30,
             adapters: 55,
-            rhythm: false,
+            regular: false,
         },
     ];
     for catalogue in &catalogues {
--- a/crates/stair-policy/examples/measure/loads.rs
+++ b/crates/stair-policy/examples/measure/loads.rs
@@ -49,7 +49,7 @@
     }
 }
 
-fn wakings(models: usize, rate: f64) -> Vec<Load> {
+fn cold_starts(models: usize, rate: f64) -> Vec<Load> {
     let mut rng = StdRng::seed_from_u64(21);
     let mut now = 1.0;
     let mut loads = Vec::new();
@@ -72,7 +72,7 @@
 }
 
 fn run(loads: &mut [Load], rate: f64, order: Order, slow_until: f64) -> f64 {
-    let mut turns: LoadSlots<usize> = LoadSlots::new(Options {
+    let mut load_slots: LoadSlots<usize> = LoadSlots::new(Options {
         loads_per_second: rate,
         full_speed_loads: FULL_SPEED as u16,
         ..Options::default()
@@ -85,7 +85,7 @@
         now += STEP;
         while asked < loads.len() && loads[asked].asked <= now {
             let l = &loads[asked];
-            turns.request(
+            load_slots.request(
                 secs(now),
                 asked,
                 TierRank(l.rank),
@@ -103,9 +103,9 @@
             }
             Order::LoadSlots => {
                 running.iter().for_each(|l| {
-                    turns.renew(secs(now), *l);
+                    load_slots.renew(secs(now), *l);
                 });
-                running.extend(turns.next(secs(now)));
+                running.extend(load_slots.next(secs(now)));
             }
         }
         started = started.max(if order == Order::AllAtOnce { asked } else { 0 });
@@ -115,7 +115,7 @@
             l.left -= progress;
             if l.left <= 0.0 {
                 l.finished = Some(now);
-                turns.done(*i);
+                load_slots.done(*i);
             }
             l.finished.is_none()
         });
@@ -148,7 +148,7 @@
     for rate in [1.5, 4.0] {
         for slow_until in [0.0, 20.0] {
             for (name, order) in orders {
-                let mut loads = wakings(30, rate);
+                let mut loads = cold_starts(30, rate);
                 let end = run(&mut loads, rate, order, slow_until);
                 let slow = if slow_until > 0.0 { ", slow" } else { "" };
                 print(&format!("{rate}/s{slow}"), name, end, &loads);
--- a/crates/stair-policy/examples/measure/placing.rs
+++ b/crates/stair-policy/examples/measure/placing.rs
@@ -203,12 +203,16 @@
     let mean = granted.sum::<u64>() as f64 / f64::from(size.targets);
     let bad = badly_spread(size, &fleet, &grants);
 
-    let gone = (size.targets / 10).max(1);
-    let kept = fleet.targets().iter().filter(|t| t.key.0 >= gone).copied();
-    let new = (size.targets..size.targets + gone).map(|k| target(k, size.centres));
+    let replaced = (size.targets / 10).max(1);
+    let kept = fleet
+        .targets()
+        .iter()
+        .filter(|t| t.key.0 >= replaced)
+        .copied();
+    let new = (size.targets..size.targets + replaced).map(|k| target(k, size.centres));
     let mut after = Fleet::new(kept.chain(new).collect());
     let all = grants.iter().flatten();
-    let lost = all.filter(|k| k.0 < gone).count() as u32;
+    let lost = all.filter(|k| k.0 < replaced).count() as u32;
     let given = settle(rule, size, &mut after, &mut grants);
     row(&[
         format!(
--- a/crates/stair-policy/examples/measure/retries.rs
+++ b/crates/stair-policy/examples/measure/retries.rs
@@ -69,12 +69,12 @@
 /// Spends the budget on requests and failures that are evenly mixed over the second.
 fn allow(budget: &mut Budget, wanted: &mut [u32; ATTEMPTS]) {
     let failed = wanted.iter().sum::<u32>();
-    let mut asked = 0;
+    let mut attempted = 0;
     let mut allowed = 0;
     for n in 1..=OFFERED {
         budget.request();
-        while asked * OFFERED < failed * n {
-            asked += 1;
+        while attempted * OFFERED < failed * n {
+            attempted += 1;
             allowed += u32::from(budget.try_retry());
         }
     }
--- a/crates/stair-policy/examples/measure/saturation.rs
+++ b/crates/stair-policy/examples/measure/saturation.rs
@@ -14,10 +14,10 @@
 
 use crate::{
     engine::{
+        ClassResults,
         Discipline,
         Job,
         Report,
-        Seen,
         run, //
     },
     table::{
@@ -189,21 +189,21 @@
 
 fn print(load: &str, name: &str, report: &Report, classes: &[&str]) {
     let whole = report.span * SLOTS as f64;
-    for (class, seen) in classes.iter().zip(&report.seen) {
+    for (class, results) in classes.iter().zip(&report.by_class) {
         row(&[
             load.into(),
             name.into(),
             percent(report.useful, whole),
             percent(report.wasted, whole),
             (*class).into(),
-            share(seen.in_time, seen),
-            share(seen.refused, seen),
-            seen.wait.cell(),
-            seen.told.cell(),
+            share(results.in_time, results),
+            share(results.refused, results),
+            results.wait.cell(),
+            results.refused_after.cell(),
         ]);
     }
 }
 
-fn share(part: u64, seen: &Seen) -> String {
-    percent(part as f64, seen.offered as f64)
+fn share(part: u64, results: &ClassResults) -> String {
+    percent(part as f64, results.offered as f64)
 }
--- a/crates/stair-policy/examples/measure/slow.rs
+++ b/crates/stair-policy/examples/measure/slow.rs
@@ -41,7 +41,7 @@
     targets: 9,
     slots: 8,
     load: 0.6,
-    report_every: 0.1,
+    report_interval: 0.1,
     slow: Slow::Nobody,
     prefixes: 0,
     span: 300.0,
@@ -156,19 +156,19 @@
         "The same with 40 and 400 entries, 85% load and nobody slow.",
         &["entries", "report every", "rule", "latency"],
     );
-    for (entries, report_every) in [(40, 0.1), (40, 0.5), (40, 2.0), (400, 0.5), (400, 2.0)] {
+    for (entries, report_interval) in [(40, 0.1), (40, 0.5), (40, 2.0), (400, 0.5), (400, 2.0)] {
         for (name, rule) in &RULES[..4] {
             let scenario = Scenario {
                 entries,
                 load: 0.85,
-                report_every,
+                report_interval,
                 span: 120.0,
                 ..SCENARIO
             };
             let report = run(scenario, *rule);
             row(&[
                 format!("{entries}"),
-                format!("{report_every} s"),
+                format!("{report_interval} s"),
                 (*name).into(),
                 report.latency.cell(),
             ]);
@@ -193,7 +193,7 @@
     );
     let rules = [
         ("least in flight (baseline)", Rule::LeastInFlight),
-        ("always the affinity target", Rule::Home),
+        ("always the affinity target", Rule::AffinityTarget),
         ("choose, no affinity", Rule::Choose),
         ("choose, affinity", Rule::Affinity),
     ];
--- a/crates/stair-policy/tests/keep_alive.rs
+++ b/crates/stair-policy/tests/keep_alive.rs
@@ -51,7 +51,7 @@
 // Requests come every 30 s. The break-even time of 20 s would cost both the idle time and a cold start
 // for each of them.
 #[test]
-fn rhythm_learned() {
+fn regular_pattern() {
     let kept = kept_after(&mut keep_alive(1.0), [30; 20]);
     assert!(kept >= secs(30) || kept == secs(5), "{kept:?}");
     let kept = kept_after(&mut keep_alive(4.0), [30; 20]);
@@ -60,7 +60,7 @@
 
 // Requests come every 20 minutes. Keeping the model loaded would only occupy memory.
 #[test]
-fn rare_let_go() {
+fn rare_model_unloaded() {
     assert_eq!(kept_after(&mut keep_alive(1.0), [1_200; 20]), secs(5));
 }
 
@@ -73,7 +73,7 @@
 }
 
 #[test]
-fn habits_change() {
+fn pattern_changes() {
     let mut keep_alive = keep_alive(4.0);
     kept_after(&mut keep_alive, [1_200; 200]);
     let kept = kept_after(&mut keep_alive, [30; 200]);
@@ -82,7 +82,7 @@
 
 // The model's weights are in the host's memory, so a reload takes only a second.
 #[test]
-fn cheap_let_go() {
+fn fast_reload_unloaded() {
     let keep_alive = keep_alive(2.0);
     let cost = Cost {
         cold_start: secs(1),
@@ -94,7 +94,7 @@
 
 // An adapter occupies a twentieth of the accelerator, so it is kept twenty times as long.
 #[test]
-fn small_kept() {
+fn adapter_kept_longer() {
     let keep_alive = keep_alive(1.0);
     let cost = Cost {
         cold_start: secs(2),
--- a/crates/stair-policy/tests/load_slots.rs
+++ b/crates/stair-policy/tests/load_slots.rs
@@ -12,7 +12,7 @@
     Duration::from_millis(n)
 }
 
-fn turns() -> LoadSlots<u32> {
+fn load_slots() -> LoadSlots<u32> {
     LoadSlots::new(Options {
         loads_per_second: 2.0,
         full_speed_loads: 2,
@@ -21,15 +21,15 @@
     })
 }
 
-fn ask(t: &mut LoadSlots<u32>, now: u64, key: u32, rank: u8, deadline: u64) {
+fn request(t: &mut LoadSlots<u32>, now: u64, key: u32, rank: u8, deadline: u64) {
     t.request(ms(now), key, TierRank(rank), ms(deadline));
 }
 
 #[test]
 fn rate_kept() {
-    let mut t = turns();
-    ask(&mut t, 0, 1, 0, 9_000);
-    ask(&mut t, 0, 2, 0, 9_000);
+    let mut t = load_slots();
+    request(&mut t, 0, 1, 0, 9_000);
+    request(&mut t, 0, 2, 0, 9_000);
     assert!(t.next(ms(0)).is_some());
     assert_eq!(t.next(ms(499)), None);
     assert_eq!(t.next_at(), Some(ms(500)));
@@ -39,9 +39,9 @@
 // The store slows down and loads take ten times as long. More concurrent loads would slow down all.
 #[test]
 fn running_bounded() {
-    let mut t = turns();
+    let mut t = load_slots();
     for key in 0..3 {
-        ask(&mut t, 0, key, 0, 90_000);
+        request(&mut t, 0, key, 0, 90_000);
     }
     let first = t.next(ms(0)).unwrap();
     let second = t.next(ms(500)).unwrap();
@@ -55,10 +55,10 @@
 
 #[test]
 fn urgent_first() {
-    let mut t = turns();
-    ask(&mut t, 0, 1, 1, 2_000);
-    ask(&mut t, 0, 2, 0, 9_000);
-    ask(&mut t, 0, 3, 0, 4_000);
+    let mut t = load_slots();
+    request(&mut t, 0, 1, 1, 2_000);
+    request(&mut t, 0, 2, 0, 9_000);
+    request(&mut t, 0, 3, 0, 4_000);
     assert_eq!(t.next(ms(0)), Some(3));
     assert_eq!(t.next(ms(500)), Some(2));
 }
@@ -67,20 +67,20 @@
 // urgent and stays a single one.
 #[test]
 fn urgency_raised() {
-    let mut t = turns();
-    ask(&mut t, 0, 1, 0, 5_000);
-    ask(&mut t, 0, 2, 2, 60_000);
-    ask(&mut t, 0, 2, 0, 3_000);
+    let mut t = load_slots();
+    request(&mut t, 0, 1, 0, 5_000);
+    request(&mut t, 0, 2, 2, 60_000);
+    request(&mut t, 0, 2, 0, 3_000);
     assert_eq!(t.waiting(), 2);
     assert_eq!(t.next(ms(0)), Some(2));
 }
 
 // An agent dies during a load and does not end its lease. Other loads wait for the slot.
 #[test]
-fn dead_holder() {
-    let mut t = turns();
+fn lease_expires() {
+    let mut t = load_slots();
     for key in 0..3 {
-        ask(&mut t, 0, key, 0, 90_000);
+        request(&mut t, 0, key, 0, 90_000);
     }
     let dead = t.next(ms(0)).unwrap();
     let alive = t.next(ms(500)).unwrap();
@@ -92,9 +92,9 @@
 
 #[test]
 fn cancelled_skipped() {
-    let mut t = turns();
-    ask(&mut t, 0, 1, 0, 1_000);
-    ask(&mut t, 0, 2, 1, 1_000);
+    let mut t = load_slots();
+    request(&mut t, 0, 1, 0, 1_000);
+    request(&mut t, 0, 2, 1, 1_000);
     t.cancel(1);
     assert_eq!(t.next(ms(0)), Some(2));
     assert_eq!(t.next_at(), None);
@@ -103,18 +103,18 @@
 // Models of the highest tier start cold faster than the store can load them. A load of the lowest tier
 // waits, and is not starved.
 #[test]
-fn lowest_loaded() {
-    let mut t = turns();
-    ask(&mut t, 0, 0, 2, 600_000);
+fn lowest_tier_promoted() {
+    let mut t = load_slots();
+    request(&mut t, 0, 0, 2, 600_000);
     let mut now = 0;
     let mut key = 1;
     loop {
-        ask(&mut t, now, key, 0, now + 700_000);
-        let Some(turn) = t.next(ms(now)) else {
+        request(&mut t, now, key, 0, now + 700_000);
+        let Some(leased) = t.next(ms(now)) else {
             panic!("the rate allows a start");
         };
-        t.done(turn);
-        if turn == 0 {
+        t.done(leased);
+        if leased == 0 {
             break;
         }
         key += 1;
--- a/crates/stair-policy/tests/placement.rs
+++ b/crates/stair-policy/tests/placement.rs
@@ -73,7 +73,7 @@
 }
 
 #[test]
-fn holders_stay() {
+fn holders_unchanged() {
     let fleet = fleet(18, 3);
     let grants = held(&[4, 5, 6]);
     assert_eq!(plan(&fleet, &model(1, 3, &grants)), []);
@@ -82,7 +82,7 @@
 // A VM drains. Its grant is revoked, and the replacement waits until the unload is confirmed: the model
 // may still be loaded there, and a replacement would exceed the number of replicas.
 #[test]
-fn leaving_replaced() {
+fn draining_replaced() {
     let mut fleet = fleet(18, 3);
     fleet.set_live(TargetKey(4), false);
     let mut grants = held(&[4, 5, 6]);
@@ -108,8 +108,8 @@
     let fleet = fleet(18, 3);
     let changes = plan(&fleet, &model(1, 2, &held(&[0, 3, 1])));
     assert_eq!(changes.len(), 1);
-    let from_crowd = [Change::Revoke(TargetKey(0)), Change::Revoke(TargetKey(3))];
-    assert!(from_crowd.contains(&changes[0]), "{changes:?}");
+    let from_fullest_centre = [Change::Revoke(TargetKey(0)), Change::Revoke(TargetKey(3))];
+    assert!(from_fullest_centre.contains(&changes[0]), "{changes:?}");
 }
 
 #[test]
@@ -127,7 +127,7 @@
 
 // The model needs more memory than most VMs have. A VM too small for it would refuse every request.
 #[test]
-fn small_skipped() {
+fn too_small_skipped() {
     let mut all: Vec<_> = (0..200).map(|k| target(k, 0)).collect();
     for t in &mut all[1..] {
         t.memory_mib = 10_000;
@@ -139,7 +139,7 @@
 
 // A tenth of the VMs is replaced. Only their grants move.
 #[test]
-fn little_moves() {
+fn only_lost_grants_move() {
     let before = fleet(100, 4);
     let grants: Vec<_> = (0..50)
         .map(|n| granted(&plan(&before, &model(n, 3, &[]))))
--- a/crates/stair-policy/tests/queue.rs
+++ b/crates/stair-policy/tests/queue.rs
@@ -145,7 +145,7 @@
 }
 
 #[test]
-fn promise_kept() {
+fn admitted_stays_in_time() {
     let mut q = queue(10, &[0]);
     admit(&mut q, item(1, 0, 1_000, 800));
     let outcome = q.push(ms(0), item(2, 0, 900, 600), &ONE_SLOT);
@@ -192,7 +192,7 @@
 }
 
 #[test]
-fn own_tier_kept() {
+fn own_tier_not_displaced() {
     let mut q = queue(2, &[0, 0]);
     admit(&mut q, item(1, 0, 5_000, 10));
     admit(&mut q, item(2, 0, 9_000, 10));
@@ -252,7 +252,7 @@
 // The highest tier has kept the engine busy for a minute. No item waits now, but an item of the lowest
 // tier would be overtaken until its deadline, so it is refused at once.
 #[test]
-fn arrivals_foreseen() {
+fn arrivals_forecast() {
     let mut q = queue(100, &[0, 0]);
     for key in 0..600 {
         let now = ms(u64::from(key) * 100);
--- a/crates/stair-policy/tests/retry.rs
+++ b/crates/stair-policy/tests/retry.rs
@@ -55,9 +55,9 @@
 fn drain_respected() {
     let drain = Duration::from_secs(4);
     for id in 0..1_000 {
-        let told = retry_after(drain, id);
-        assert!(told >= drain && told < drain * 2, "{told:?}");
-        assert_eq!(told, retry_after(drain, id));
+        let delay = retry_after(drain, id);
+        assert!(delay >= drain && delay < drain * 2, "{delay:?}");
+        assert_eq!(delay, retry_after(drain, id));
     }
 }
 
@@ -67,8 +67,8 @@
 fn refused_spread() {
     let mut tenths = [0; 10];
     for id in 0..1_000 {
-        let told = retry_after(Duration::from_secs(10), id);
-        tenths[told.as_secs() as usize - 10] += 1;
+        let delay = retry_after(Duration::from_secs(10), id);
+        tenths[delay.as_secs() as usize - 10] += 1;
     }
     assert!(tenths.iter().all(|n| (60..150).contains(n)), "{tenths:?}");
 }
--- a/crates/stair-policy/tests/traffic_weights.rs
+++ b/crates/stair-policy/tests/traffic_weights.rs
@@ -43,7 +43,7 @@
 // One target responds ten times slower than the others. With a full share, its requests would wait while
 // the other targets are idle.
 #[test]
-fn slow_loses() {
+fn slow_reduced() {
     let mut s = traffic_weights();
     run(&mut s, 20, |_| 100);
     run(&mut s, 40, |t| if t == 4 { 1_000 } else { 100 });
@@ -53,7 +53,7 @@
 
 // The weight falls step by step, so that the target's load does not move to the others at once.
 #[test]
-fn gradual_loss() {
+fn gradual_reduction() {
     let mut s = traffic_weights();
     run(&mut s, 20, |_| 100);
     let mut last = 1.0;
@@ -66,7 +66,7 @@
 }
 
 #[test]
-fn share_returns() {
+fn weight_recovers() {
     let mut s = traffic_weights();
     run(&mut s, 60, |t| if t == 4 { 1_000 } else { 100 });
     run(&mut s, 60, |_| 100);
@@ -86,7 +86,7 @@
 }
 
 #[test]
-fn failing_loses() {
+fn failing_reduced() {
     let mut s = traffic_weights();
     run(&mut s, 20, |_| 100);
     for _ in 0..40 {
@@ -111,7 +111,7 @@
 }
 
 #[test]
-fn forgotten_restarts() {
+fn forgotten_has_full_weight() {
     let mut s = traffic_weights();
     run(&mut s, 60, |t| if t == 4 { 1_000 } else { 100 });
     s.forget(TargetKey(4));
