--- a/crates/stair-agent/src/refuse.rs
+++ b/crates/stair-agent/src/refuse.rs
@@ -11,16 +11,16 @@
 };
 
 use crate::{
-    admit::ELSEWHERE_MS,
+    admit::RETRY_ELSEWHERE_MS,
     control::{
         Core,
-        Pending, //
+        Unstarted, //
     },
-    msg::Event, //
+    msg::OfferEvent, //
 };
 
 /// When a caller may come back after a request was refused because the agent leaves.
-const LEAVING_MS: u32 = 500;
+const DRAINING_RETRY_MS: u32 = 500;
 
 impl Core {
     /// Refuses what can no longer be answered in time: its caller has to know now.
@@ -34,44 +34,45 @@
 
     /// Refuses what waits for a model that may not be held any more.
     pub(crate) fn refuse_ungranted(&mut self) {
-        let gone = self.take_if(|core, item| core.in_force.may_hold(&item.model).is_none());
-        for id in gone {
+        let ids = self
+            .remove_waiting_if(|core, item| core.in_force.servable_model(&item.model).is_none());
+        for id in ids {
             let message = "the target gives the model back";
-            let refusal = Refusal::not_run(Reason::NotGranted, ELSEWHERE_MS, message);
+            let refusal = Refusal::not_run(Reason::NotGranted, RETRY_ELSEWHERE_MS, message);
             self.refuse_id(id, refusal);
         }
     }
 
     /// Takes the requests out of the queue that wait for certain items.
-    pub(crate) fn take_if<F>(&mut self, gone: F) -> Vec<RequestId>
+    pub(crate) fn remove_waiting_if<F>(&mut self, matches: F) -> Vec<RequestId>
     where
         F: Fn(&Self, &Item) -> bool,
     {
         let waiting = self.queue.iter();
-        let out: Vec<RequestId> = waiting
-            .filter(|w| self.items.get(w.model).is_some_and(|i| gone(self, i)))
+        let ids: Vec<RequestId> = waiting
+            .filter(|w| self.items.get(w.model).is_some_and(|i| matches(self, i)))
             .map(|w| w.key)
             .collect();
-        for id in &out {
+        for id in &ids {
             self.queue.remove(*id);
         }
-        out
+        ids
     }
 
     /// Refuses everything that has not started, also what was told that it can run now.
-    pub(crate) fn refuse_all_leaving(&mut self) {
-        self.refuse_all(&leaving());
+    pub(crate) fn refuse_all_draining(&mut self) {
+        self.refuse_all(&draining_refusal());
     }
 
     /// Refuses everything that has not started at an engine that is down.
-    pub(crate) fn refuse_all_lost(&mut self) {
-        if self.engine_is_lost() {
-            self.refuse_all(&engine_lost());
+    pub(crate) fn refuse_all_engine_down(&mut self) {
+        if self.engine_is_down() {
+            self.refuse_all(&engine_down_refusal());
         }
     }
 
     fn refuse_all(&mut self, refusal: &Refusal) {
-        let ids: Vec<RequestId> = self.pending.iter().map(|p| p.offer.id).collect();
+        let ids: Vec<RequestId> = self.unstarted.iter().map(|p| p.offer.id).collect();
         for id in ids {
             self.queue.remove(id);
             self.refuse_id(id, refusal.clone());
@@ -79,49 +80,53 @@
     }
 
     pub(crate) fn refuse_id(&mut self, id: RequestId, refusal: Refusal) {
-        if let Ok(i) = self.find_pending(id) {
-            let pending = self.pending.remove(i);
-            self.refuse(pending, refusal);
+        if let Ok(i) = self.find_unstarted(id) {
+            let unstarted = self.unstarted.remove(i);
+            self.refuse(unstarted, refusal);
         }
     }
 
     /// Refuses a request that may come back when the queue has drained.
     pub(crate) fn refuse_later(&mut self, id: RequestId, reason: Reason, message: &str) {
         let drain = self.expected_wait();
-        let refusal = Refusal::not_run(reason, drained_ms(drain), message);
+        let refusal = Refusal::not_run(reason, drain_retry_ms(drain), message);
         self.refuse_id(id, refusal);
     }
 
-    pub(crate) fn refuse(&mut self, pending: Pending, refusal: Refusal) {
-        let id = pending.offer.id;
+    pub(crate) fn refuse(&mut self, unstarted: Unstarted, refusal: Refusal) {
+        let id = unstarted.offer.id;
         self.args.metrics.refusal(refusal.reason, refusal.verdict);
         self.runs.withdraw(self.now(), id);
         self.active.retain(|a| a.id != id || a.started);
-        let load = self.load(self.items.get(pending.key));
-        let _ = pending.events.send(Event::Refused(refusal, load));
+        let load = self.load(self.items.get(unstarted.key));
+        let _ = unstarted.events.send(OfferEvent::Refused(refusal, load));
     }
 
-    pub(crate) fn find_pending(&self, id: RequestId) -> Result<usize, usize> {
-        self.pending.binary_search_by_key(&id, |p| p.offer.id)
+    pub(crate) fn find_unstarted(&self, id: RequestId) -> Result<usize, usize> {
+        self.unstarted.binary_search_by_key(&id, |p| p.offer.id)
     }
 }
 
 /// When a caller may come back after the engine was found down, in milliseconds: a process beside
 /// it starts it again in some seconds.
-const LOST_MS: u32 = 2_000;
-
-pub(crate) fn engine_lost() -> Refusal {
-    Refusal::not_run(Reason::TargetFailed, LOST_MS, "the engine does not answer")
+const ENGINE_DOWN_RETRY_MS: u32 = 2_000;
+
+pub(crate) fn engine_down_refusal() -> Refusal {
+    Refusal::not_run(
+        Reason::TargetFailed,
+        ENGINE_DOWN_RETRY_MS,
+        "the engine does not answer",
+    )
 }
 
 /// Says that the agent takes no more work.
-pub(crate) fn leaving() -> Refusal {
-    Refusal::not_run(Reason::Leaving, LEAVING_MS, "the target is leaving")
+pub(crate) fn draining_refusal() -> Refusal {
+    Refusal::not_run(Reason::Leaving, DRAINING_RETRY_MS, "the target is leaving")
 }
 
 /// Returns when the queue has drained. The entry spreads it, so that those who are refused together
 /// do not come back together; to spread it here as well would send them back later than needed.
-pub(crate) fn drained_ms(drain: Duration) -> u32 {
+pub(crate) fn drain_retry_ms(drain: Duration) -> u32 {
     millis(drain.max(backoff::MIN_RETRY_AFTER))
 }
 
--- a/crates/stair-entry/src/control/links.rs
+++ b/crates/stair-entry/src/control/links.rs
@@ -27,10 +27,10 @@
         AgentControl,
         EntryControl,
         Hello,
+        LoadSlotReply,
+        LoadSlotRequest,
         Opening,
-        PeerRequest,
-        TurnReply,
-        TurnRequest, //
+        PeerRequest, //
     },
     frame,
 };
@@ -40,34 +40,34 @@
 };
 
 use crate::control::{
+    load_slots::LoadSlotScheduler,
     msg::{
-        AgentUp,
+        AgentConnected,
         Msg,
         Outbox,
         StreamId, //
     },
-    turns::Desk,
 };
 
 /// A peer that opens a stream and sends nothing is cut after this time.
-const OPENING_TIME: Duration = Duration::from_secs(5);
+const OPENING_TIMEOUT: Duration = Duration::from_secs(5);
 
 static NEXT_STREAM: AtomicU64 = AtomicU64::new(0);
 
 /// Accepts links until the listener is closed.
-pub async fn serve(listener: Listener, actor: ActorRef<Msg>, desk: Desk) {
+pub async fn serve(listener: Listener, actor: ActorRef<Msg>, scheduler: LoadSlotScheduler) {
     while let Some(link) = listener.accept().await {
-        tokio::spawn(serve_link(link, actor.clone(), desk.clone()));
+        tokio::spawn(serve_link(link, actor.clone(), scheduler.clone()));
     }
 }
 
-async fn serve_link(link: Link, actor: ActorRef<Msg>, desk: Desk) {
+async fn serve_link(link: Link, actor: ActorRef<Msg>, scheduler: LoadSlotScheduler) {
     while let Ok((tx, rx)) = link.accept().await {
         let actor = actor.clone();
-        let desk = desk.clone();
+        let scheduler = scheduler.clone();
         let peer = link.peer();
         tokio::spawn(async move {
-            if let Err(e) = serve_stream(tx, rx, actor, desk).await {
+            if let Err(e) = serve_stream(tx, rx, actor, scheduler).await {
                 warn!(Part::Links, "A stream of {peer} ended: {e}.");
             }
         });
@@ -78,13 +78,13 @@
     tx: SendStream,
     mut rx: RecvStream,
     actor: ActorRef<Msg>,
-    desk: Desk,
+    scheduler: LoadSlotScheduler,
 ) -> anyhow::Result<()> {
     let opening = frame::read_message(&mut rx);
-    match tokio::time::timeout(OPENING_TIME, opening).await?? {
+    match tokio::time::timeout(OPENING_TIMEOUT, opening).await?? {
         Opening::Agent(hello) => serve_agent(tx, rx, actor, hello).await,
         Opening::Peer(PeerRequest::Snapshot) => serve_snapshot(tx, actor).await,
-        Opening::Turn(req) => serve_turn(tx, rx, &desk, req).await,
+        Opening::LoadSlot(req) => serve_load_slot(tx, rx, &scheduler, req).await,
     }
 }
 
@@ -96,23 +96,23 @@
 ) -> anyhow::Result<()> {
     let stream = StreamId(NEXT_STREAM.fetch_add(1, Ordering::Relaxed));
     let (outbox, sent) = watch::channel(Outbox::default());
-    let up = AgentUp {
+    let connected = AgentConnected {
         stream,
         hello,
         outbox,
     };
-    actor.send_message(Msg::AgentUp(Box::new(up)))?;
+    actor.send_message(Msg::AgentConnected(Box::new(connected)))?;
     let reading = async {
         loop {
-            let said: AgentControl = frame::read_message(&mut rx).await?;
-            actor.send_message(Msg::AgentSaid(stream, said))?;
+            let msg: AgentControl = frame::read_message(&mut rx).await?;
+            actor.send_message(Msg::AgentMessage(stream, msg))?;
         }
     };
     let result = tokio::select! {
         result = reading => result,
         result = send_outbox(tx, sent) => result,
     };
-    actor.send_message(Msg::AgentDown(stream))?;
+    actor.send_message(Msg::AgentDisconnected(stream))?;
     result
 }
 
@@ -151,21 +151,21 @@
     Ok(())
 }
 
-async fn serve_turn(
+async fn serve_load_slot(
     mut tx: SendStream,
     mut rx: RecvStream,
-    desk: &Desk,
-    req: TurnRequest,
+    scheduler: &LoadSlotScheduler,
+    req: LoadSlotRequest,
 ) -> anyhow::Result<()> {
     let time_left = Duration::from_millis(u64::from(req.time_left_ms));
-    let mut turn = desk.ask(req.rank, time_left);
-    frame::write_message(&mut tx, &TurnReply::Queued).await?;
+    let mut lease = scheduler.request(req.rank, time_left);
+    frame::write_message(&mut tx, &LoadSlotReply::Queued).await?;
     let mut ended = [0; 1];
     tokio::select! {
-        () = turn.granted() => {}
+        () = lease.granted() => {}
         _ = rx.read(&mut ended) => return Ok(()),
     }
-    frame::write_message(&mut tx, &TurnReply::Granted).await?;
+    frame::write_message(&mut tx, &LoadSlotReply::Granted).await?;
     // The agent ends the stream when the load has ended, and its link when it dies.
     let _ = rx.read(&mut ended).await;
     Ok(())
--- a/crates/stair-sidecar/src/controller.rs
+++ b/crates/stair-sidecar/src/controller.rs
@@ -23,7 +23,7 @@
         Used,
     },
     target::{
-        Copy,
+        CopyLocation,
         Fetched, //
     },
 };
@@ -83,7 +83,7 @@
 struct OrderInProgress {
     load: bool,
     model: Box<str>,
-    from: Copy,
+    from: CopyLocation,
     since: Duration,
     until: Duration,
     /// Loads from the weight store that run at the same time, including this one.
@@ -235,11 +235,11 @@
         if !reading.busy
             && let Some(in_progress) = self.in_progress.take()
         {
-            let fetches = in_progress.load && in_progress.from == Copy::Store;
+            let fetches = in_progress.load && in_progress.from == CopyLocation::Store;
             if fetches && reading.holds.model(&in_progress.model).is_some() {
                 let fetched = Fetched {
-                    together: in_progress.together,
-                    times: self.times(&in_progress, now),
+                    concurrent: in_progress.together,
+                    slowdown: self.times(&in_progress, now),
                 };
                 self.fetched = Some((fetched, now));
             }
@@ -287,7 +287,7 @@
                 victims: Vec::new(),
                 fetch: None,
                 prefetch: true,
-                of_use: RESTORE_TIMEOUT,
+                timeout: RESTORE_TIMEOUT,
             };
             self.load_requests.push(Pending {
                 id,
@@ -323,7 +323,7 @@
         match reply {
             Some(Reply::Accepted) if planned.adapter.is_none() => {
                 let from = self.copy_location(&planned.model);
-                if planned.load && from == Copy::Store {
+                if planned.load && from == CopyLocation::Store {
                     self.fetch_began = Some(now);
                 }
                 let mut asked = self
@@ -395,7 +395,7 @@
         if self.ready(&p.req) {
             return Some(Outcome::Ready);
         }
-        if p.failed || now.saturating_sub(p.since) > p.req.of_use {
+        if p.failed || now.saturating_sub(p.since) > p.req.timeout {
             return Some(Outcome::Failed);
         }
         if !control || !self.alive || self.reading.is_none() || self.decl.is_none() {
@@ -408,7 +408,7 @@
         }
         if p.req.fetch.is_none()
             && !self.is_loaded(&p.req.model)
-            && self.copy_location(&p.req.model) == Copy::Store
+            && self.copy_location(&p.req.model) == CopyLocation::Store
         {
             return Some(Outcome::StoreBusy);
         }
@@ -439,12 +439,12 @@
         in_progress.is_some_and(|d| d.load && *d.model == *model)
     }
 
-    fn copy_location(&self, model: &str) -> Copy {
+    fn copy_location(&self, model: &str) -> CopyLocation {
         let reading = self.reading.as_ref();
-        reading.map_or(Copy::Store, |r| r.holds.copy(model))
+        reading.map_or(CopyLocation::Store, |r| r.holds.copy(model))
     }
 
-    fn load_time(&self, model: &str, from: Copy) -> Duration {
+    fn load_time(&self, model: &str, from: CopyLocation) -> Duration {
         let decl = self.decl.as_ref().and_then(|d| d.model(model));
         decl.map_or(Duration::ZERO, |m| m.load_time(from))
     }
--- a/crates/stair-sidecar/src/controller/plan.rs
+++ b/crates/stair-sidecar/src/controller/plan.rs
@@ -4,7 +4,7 @@
 
 use stair_fleet::{
     msg::Outcome,
-    target::Copy, //
+    target::CopyLocation, //
 };
 
 use super::{
@@ -36,7 +36,7 @@
     oldest: usize,
     /// Load requests that clients wait for; prefetches don't count.
     waiting: usize,
-    from: Copy,
+    from: CopyLocation,
     takes: Duration,
 }
 
@@ -86,7 +86,7 @@
         unloadable.sort_unstable();
         for i in unloadable.into_iter().rev() {
             let p = self.load_requests.remove(i);
-            refused.push((p.id, Outcome::NoRoom));
+            refused.push((p.id, Outcome::NoCapacity));
         }
         planned
     }
@@ -126,7 +126,7 @@
             .fetch_began
             .is_none_or(|at| now.saturating_sub(at) >= self.opts.fetch_window);
         let mut models = self.missing_models();
-        models.retain(|a| may_fetch || a.from != Copy::Store);
+        models.retain(|a| may_fetch || a.from != CopyLocation::Store);
         models.sort_by(|a, b| {
             let older = || a.oldest.cmp(&b.oldest);
             b.gain().total_cmp(&a.gain()).then_with(older)
@@ -138,7 +138,9 @@
     /// come after them, unless many requests wait for one.
     pub(super) fn to_load(&self) -> Duration {
         let missing_models = self.missing_models();
-        let near = missing_models.iter().filter(|a| a.from != Copy::Store);
+        let near = missing_models
+            .iter()
+            .filter(|a| a.from != CopyLocation::Store);
         near.filter(|a| !self.is_loading(a.model))
             .map(|a| a.takes)
             .sum()
--- a/crates/stair-sidecar/src/controller/report.rs
+++ b/crates/stair-sidecar/src/controller/report.rs
@@ -5,7 +5,7 @@
 use stair_fleet::target::{
     Demand,
     Fetched,
-    Holds,
+    Inventory,
     Load,
     Loading,
     Usage, //
@@ -28,7 +28,7 @@
     }
 
     /// Returns the models and adapters that the engine has loaded, and its copies of others.
-    pub fn inventory(&self) -> Holds {
+    pub fn inventory(&self) -> Inventory {
         let reading = self.reading.as_ref();
         reading.map(|r| r.holds.clone()).unwrap_or_default()
     }
@@ -45,8 +45,8 @@
             .map(|d| Loading {
                 model: d.model.clone(),
                 from: d.from,
-                left: d.until.saturating_sub(now),
-                times: self.times(d, now),
+                remaining: d.until.saturating_sub(now),
+                slowdown: self.times(d, now),
             });
         let unloading = self
             .in_progress
@@ -65,7 +65,7 @@
                 model: h.name.clone(),
                 in_flight: self.usage.in_flight(&h.name),
                 per_s: self.usage.rate(&h.name, now) as f32,
-                work: self.usage.work(&h.name, now) as f32,
+                prefill_fraction: self.usage.work(&h.name, now) as f32,
             })
             .filter(|u| u.in_flight > 0 || u.per_s > MIN_REPORTED_PER_S)
             .collect();
@@ -79,9 +79,9 @@
             total_tokens: reading.total_tokens,
             loading,
             fetched: self.fetched(now),
-            to_load: self.to_load(),
+            queued_load_time: self.to_load(),
             unloading: unloading.is_some(),
-            leaving,
+            draining: leaving,
             free_adapters: self.free_adapters(),
             usage,
             unserved: self.unserved(now),
--- a/crates/stair-sidecar/src/links.rs
+++ b/crates/stair-sidecar/src/links.rs
@@ -111,13 +111,13 @@
 ) {
     while let Ok(Ok(msg)) = timeout(SILENCE_TIMEOUT, frame::read_message(&mut r)).await {
         let msg = match msg {
-            ToAgent::Allow { seq, ask } => {
-                let answer = ledgers.quotas.request(&ask);
+            ToAgent::QuotaRequest { seq, request } => {
+                let reply = ledgers.quotas.request(&request);
                 // An entry that does not read sends its request to another agent.
-                let _ = tx.try_send(ToEntry::Allowed { seq, answer });
+                let _ = tx.try_send(ToEntry::QuotaReply { seq, reply });
                 continue;
             }
-            ToAgent::GiveBack { workspace, cost } => {
+            ToAgent::QuotaRefund { workspace, cost } => {
                 ledgers.quotas.refund(&workspace, cost);
                 continue;
             }
--- a/crates/stair-sidecar/src/process.rs
+++ b/crates/stair-sidecar/src/process.rs
@@ -29,7 +29,7 @@
     },
     prefill::Schedule,
     target::{
-        Holds,
+        Inventory,
         Load, //
     },
 };
@@ -209,7 +209,7 @@
     /// When a newer declaration was last requested from an entry.
     declaration_requested_at: Option<Instant>,
     failed_reads: u32,
-    published_inventory: Option<Holds>,
+    published_inventory: Option<Inventory>,
     published_load: Option<(Load, Instant)>,
     page: Arc<Page>,
     ledgers: Ledgers,
@@ -405,7 +405,7 @@
                 .show("outcome", format_args!("{outcome:?}"))
                 .write();
             let link = self.links.iter().find(|l| l.key == id.link);
-            let done = ToEntry::Done {
+            let done = ToEntry::LoadReply {
                 seq: id.seq,
                 outcome,
             };
--- a/crates/stair-sidecar/src/process/dump.rs
+++ b/crates/stair-sidecar/src/process/dump.rs
@@ -4,12 +4,12 @@
 
 use serde::Serialize;
 use stair_fleet::{
-    allowance::Ledger,
     msg::ReplicationState,
     prefill::Rate,
     quarantine,
+    quota::Ledger,
     target::{
-        Holds,
+        Inventory,
         Load, //
     },
 };
@@ -36,7 +36,7 @@
     #[serde(rename = "misses")]
     failed_reads: u32,
     #[serde(rename = "holds")]
-    inventory: Holds,
+    inventory: Inventory,
     load: Load,
     /// Prefill rates of the engine, as estimated from the entries' reports.
     rates: Vec<Rate>,
--- a/crates/stair-sidecar/src/process/publish.rs
+++ b/crates/stair-sidecar/src/process/publish.rs
@@ -4,13 +4,13 @@
 
 use stair_fleet::{
     msg::{
-        Fleet,
+        EntrySet,
         Peers,
         ReplicationState,
         ToEntry, //
     },
     target::{
-        Holds,
+        Inventory,
         Load, //
     },
 };
@@ -37,7 +37,7 @@
     /// Reports the other entries to each entry when the least name, the number of entries or the entry
     /// that watches the store for them has changed.
     pub(super) fn publish_peers(&mut self) {
-        let fleet = Fleet::of(&self.replication_states());
+        let fleet = EntrySet::of(&self.replication_states());
         for link in &mut self.links {
             let Some(own) = &link.known else { continue };
             let peers = fleet.peers(own);
@@ -73,7 +73,7 @@
         let link = self.links.iter().find(|l| l.key == key);
         // The queue of an entry that does not read is full; the next entry with a newer declaration
         // is asked for it.
-        if link.is_some_and(|l| l.tx.try_send(ToEntry::Declare).is_ok()) {
+        if link.is_some_and(|l| l.tx.try_send(ToEntry::DeclarationRequest).is_ok()) {
             self.declaration_requested_at = Some(Instant::now());
         }
     }
@@ -92,15 +92,15 @@
             for gone in before.filter(|h| holds.model(&h.name).is_none()) {
                 self.prefills.unloaded(&gone.name);
             }
-            self.broadcast(&ToEntry::Holds(Box::new(holds.clone())));
+            self.broadcast(&ToEntry::Inventory(Box::new(holds.clone())));
             self.published_inventory = Some(holds);
         }
         let load = self.load();
         if self.load_is_due(&load) {
-            let before = self.published_load.as_ref().map(|(l, _)| &l.leaving);
-            if before.is_some_and(|b| *b != load.leaving) {
+            let before = self.published_load.as_ref().map(|(l, _)| &l.draining);
+            if before.is_some_and(|b| *b != load.draining) {
                 Line::new("leaving")
-                    .text("models", &load.leaving.join(" "))
+                    .text("models", &load.draining.join(" "))
                     .write();
             }
             self.broadcast(&ToEntry::Load(Box::new(load.clone())));
@@ -122,7 +122,7 @@
         };
         let orders = |l: &Load| {
             let loading = l.loading.as_ref().map(|l| l.model.clone());
-            (l.alive, loading, l.leaving.clone(), l.to_load)
+            (l.alive, loading, l.draining.clone(), l.queued_load_time)
         };
         let work = |l: &Load| {
             (
@@ -144,9 +144,12 @@
         let Some(link) = self.links.iter().find(|l| l.key == key) else {
             return;
         };
-        let holds = ToEntry::Holds(Box::new(self.controller.inventory()));
+        let holds = ToEntry::Inventory(Box::new(self.controller.inventory()));
         let load = ToEntry::Load(Box::new(self.load()));
-        let stale = self.stale_incarnation.clone().map(ToEntry::Former);
+        let stale = self
+            .stale_incarnation
+            .clone()
+            .map(ToEntry::StaleIncarnation);
         for msg in [holds, load].into_iter().chain(stale) {
             if link.tx.try_send(msg).is_err() {
                 self.page.count("untold_total", &[], 1);
@@ -166,7 +169,7 @@
 }
 
 /// Logs the new inventory of the engine.
-fn log_inventory(holds: &Holds) {
+fn log_inventory(holds: &Inventory) {
     let models = holds.models.iter().map(|h| match h.adapters.len() {
         0 => h.name.to_string(),
         _ => format!("{}+{}", h.name, h.adapters.join("+")),
--- a/crates/stair-sidecar/src/process/receive.rs
+++ b/crates/stair-sidecar/src/process/receive.rs
@@ -5,7 +5,7 @@
         ToAgent,
         ToEntry, //
     },
-    prefill::Answer,
+    prefill::Reply,
 };
 use stair_telemetry::event::Line;
 
@@ -57,7 +57,7 @@
                     self.request_declaration(key);
                 }
             }
-            ToAgent::Engine { version, engine } if version >= self.declared => {
+            ToAgent::Declaration { version, engine } if version >= self.declared => {
                 if version > self.declared {
                     Line::new("declared").num("version", version).write();
                 }
@@ -66,15 +66,15 @@
                 self.controller.declare(engine);
             }
             // A lagging entry sends a declaration that is no longer in force.
-            ToAgent::Engine { .. } => {}
-            ToAgent::Instance { id, revision } => {
+            ToAgent::Declaration { .. } => {}
+            ToAgent::Incarnation { id, revision } => {
                 self.update_incarnation(id, revision);
                 // The entry has just learnt of this incarnation and has no inventory for it: earlier
                 // reports counted for the previous one. Without the report, a model on the engine's
                 // disk would be loaded from the weight store.
                 self.publish_all(key);
             }
-            ToAgent::Former(id) => self.receive_stale_incarnation(id),
+            ToAgent::StaleIncarnation(id) => self.receive_stale_incarnation(id),
             ToAgent::LoadRequest(req) => {
                 let seq = req.seq;
                 Line::new("want")
@@ -89,28 +89,29 @@
                 Line::new("want.taken_back").num("seq", seq).write();
                 self.controller.cancel(LoadRequestId { link: key, seq });
             }
-            ToAgent::Prefill { seq, ask } => {
-                let answer = if self.controller.is_evicting(&ask.model) {
-                    Answer::leaving(&ask)
+            ToAgent::Prefill { seq, request } => {
+                let reply = if self.controller.is_evicting(&request.model) {
+                    Reply::model_draining(&request)
                 } else {
                     self.prefills
-                        .ask(&ask, self.controller.memory_tokens(), now)
+                        .reserve(&request, self.controller.memory_tokens(), now)
                 };
                 // A repeated request has been counted already.
-                if answer.booked || ask.first {
-                    let work = self.prefills.work(&ask, answer.kept);
+                if reply.reserved || request.first {
+                    let work = self.prefills.prefill_time(&request, reply.cached);
                     self.controller
-                        .record_prompt(&ask.model, answer.booked, work, now);
+                        .record_prompt(&request.model, reply.reserved, work, now);
                 }
                 let link = self.links.iter().find(|l| l.key == key);
                 // An entry that does not read gets no slot.
-                link.map(|l| l.tx.try_send(ToEntry::Prefill { seq, answer }));
+                link.map(|l| l.tx.try_send(ToEntry::Prefill { seq, reply }));
             }
             ToAgent::Unserved(model) => self.controller.record_unserved(&model, now),
             ToAgent::Used(list) => self.controller.record_use(key, &list, now),
-            ToAgent::Read(list) => list.iter().for_each(|r| self.prefills.learn(r)),
+            ToAgent::PrefillTimes(list) => list.iter().for_each(|r| self.prefills.record(r)),
             // Handled by the link.
-            ToAgent::Allow { .. } | ToAgent::GiveBack { .. } | ToAgent::Quarantine(_) => {}
+            ToAgent::QuotaRequest { .. } | ToAgent::QuotaRefund { .. } | ToAgent::Quarantine(_) => {
+            }
         }
     }
 
@@ -127,7 +128,7 @@
             self.incarnation = None;
         }
         self.stale_incarnation = Some(id.clone());
-        self.broadcast(&ToEntry::Former(id));
+        self.broadcast(&ToEntry::StaleIncarnation(id));
     }
 
     pub(super) fn update_incarnation(&mut self, id: Box<str>, revision: u64) {
--- a/crates/stair-sidecar/src/quotas.rs
+++ b/crates/stair-sidecar/src/quotas.rs
@@ -1,6 +1,6 @@
 //! Counts the quotas of workspaces for all entries.
 //!
-//! Entries choose the agent that counts a workspace; see [`allowance`](stair_fleet::allowance) for the
+//! Entries choose the agent that counts a workspace; see [`quota`](stair_fleet::quota) for the
 //! limits that hold while they disagree.
 
 use std::{
@@ -13,11 +13,11 @@
     time::Duration,
 };
 
-use stair_fleet::allowance::{
-    Answer,
-    Ask,
+use stair_fleet::quota::{
     Crossing,
-    Ledger, //
+    Ledger,
+    Reply,
+    Request, //
 };
 use stair_telemetry::{
     event::Line,
@@ -44,21 +44,21 @@
 
     /// Charges a request of a workspace to its quota, and returns whether it was granted. Logs when the
     /// workspace exceeds its quota or is within it again.
-    pub fn request(&self, ask: &Ask) -> Answer {
+    pub fn request(&self, request: &Request) -> Reply {
         let now = self.now();
-        let (reply, crossing) = self.lock().ask(ask, now);
+        let (reply, crossing) = self.lock().handle(request, now);
         if let Some(crossing) = crossing {
             let event = match crossing {
                 Crossing::Over => "allowance.over",
                 Crossing::Under => "allowance.under",
             };
             Line::failure(event)
-                .text("workspace", &ask.workspace)
-                .num("catalogue", ask.version)
-                .num("per_s", ask.allowance.per_s as i64)
-                .num("burst", ask.allowance.burst as i64)
+                .text("workspace", &request.workspace)
+                .num("catalogue", request.version)
+                .num("per_s", request.quota.per_s as i64)
+                .num("burst", request.quota.burst as i64)
                 .ms("wait_ms", reply.wait)
-                .flag("stand_in", ask.stand_in)
+                .flag("stand_in", request.stand_in)
                 .write();
         }
         let outcome = if reply.granted { "granted" } else { "refused" };
@@ -70,7 +70,7 @@
     /// Refunds the cost of a request that was not run.
     pub fn refund(&self, workspace: &str, cost: f64) {
         let now = self.now();
-        self.lock().give_back(workspace, cost, now);
+        self.lock().refund(workspace, cost, now);
     }
 
     /// Returns a copy of the ledger.
--- a/crates/stair-sidecar/tests/controller.rs
+++ b/crates/stair-sidecar/tests/controller.rs
@@ -18,8 +18,8 @@
     },
     target::{
         Fetched,
-        Held,
-        Holds, //
+        Inventory, //
+        LoadedModel,
     },
 };
 use stair_sidecar::{
@@ -56,12 +56,12 @@
 }
 
 fn reading(sequence: u64, models: &[(&str, &[&str])]) -> Reading {
-    let held = |(name, adapters): &(&str, &[&str])| Held {
+    let held = |(name, adapters): &(&str, &[&str])| LoadedModel {
         name: (*name).into(),
         adapters: adapters.iter().map(|a| (*a).into()).collect(),
     };
     Reading {
-        holds: Holds {
+        holds: Inventory {
             models: models.iter().map(held).collect(),
             in_memory: Vec::new(),
             on_disk: ["a", "b", "c"].map(Into::into).to_vec(),
@@ -79,7 +79,7 @@
         victims: Vec::new(),
         fetch: None,
         prefetch: false,
-        of_use: Duration::from_secs(14),
+        timeout: Duration::from_secs(14),
     }
 }
 
@@ -240,13 +240,13 @@
     let mut ctl = controller(&[("a", &[])]);
     let prefetch = LoadRequest {
         prefetch: true,
-        of_use: Duration::from_secs(14),
+        timeout: Duration::from_secs(14),
         ..req("b", None)
     };
     ctl.request_load(id(1), prefetch, ms(0));
     ctl.request_load(id(2), req("c", None), ms(1));
     assert_eq!(next(&mut ctl, ms(1)), Some(planned(true, "c", None, 1)));
-    assert_eq!(ctl.load(ms(1)).to_load, ms(1600));
+    assert_eq!(ctl.load(ms(1)).queued_load_time, ms(1600));
 }
 
 /// When an entry disconnects, its load requests are dropped and its requests in flight no longer count.
@@ -310,13 +310,13 @@
 fn reports_store_load_duration() {
     let mut ctl = controller_with_store_load(Options::default());
     let load = ctl.load(ms(9000));
-    let times = load.loading.expect("loading").times;
+    let times = load.loading.expect("loading").slowdown;
     assert!((1.49..1.51).contains(&times), "{times}");
     assert_eq!(load.fetched, None);
     ctl.read(Some(reading(3, &[("d", &[])])), ms(12_000));
     let took = Fetched {
-        together: 3,
-        times: 2.0,
+        concurrent: 3,
+        slowdown: 2.0,
     };
     assert_eq!(ctl.load(ms(12_000)).fetched, Some(took));
     assert_eq!(ctl.load(ms(200_000)).fetched, None, "expired");
@@ -394,7 +394,7 @@
     ctl.request_load(id(1), request, ms(1000));
     assert_eq!(next(&mut ctl, ms(1000)), None);
     assert!(ctl.is_evicting("a") && !ctl.is_evicting("b"));
-    assert_eq!(ctl.load(ms(1000)).leaving, vec!["a".into()]);
+    assert_eq!(ctl.load(ms(1000)).draining, vec!["a".into()]);
     ctl.request_load(id(2), req("b", Some("x")), ms(1010));
     assert_eq!(
         next(&mut ctl, ms(1010)),
--- a/crates/stair-sidecar/tests/random.rs
+++ b/crates/stair-sidecar/tests/random.rs
@@ -17,8 +17,8 @@
     },
     msg::LoadRequest,
     target::{
-        Held,
-        Holds, //
+        Inventory, //
+        LoadedModel,
     },
 };
 use stair_sidecar::{
@@ -84,7 +84,7 @@
 /// An engine that carries out all orders, including those that exceed its capacity.
 #[derive(Default)]
 struct Engine {
-    holds: Holds,
+    holds: Inventory,
     sequence: u64,
     in_progress: Option<PlannedOrder>,
 }
@@ -103,10 +103,10 @@
     }
 
     fn finish(&mut self, planned: &PlannedOrder) {
-        let held = |h: &Held| h.name == planned.model;
+        let held = |h: &LoadedModel| h.name == planned.model;
         match (&planned.adapter, planned.load) {
             (None, true) => {
-                self.holds.models.push(Held {
+                self.holds.models.push(LoadedModel {
                     name: planned.model.clone(),
                     adapters: Vec::new(),
                 });
@@ -186,7 +186,7 @@
                         victims: Vec::new(),
                         fetch: Some(1),
                         prefetch: false,
-                        of_use: Duration::from_secs(14),
+                        timeout: Duration::from_secs(14),
                     };
                     controller.request_load(id, req, now);
                 }
