--- a/crates/stair-policy/src/choose.rs
+++ b/crates/stair-policy/src/choose.rs
@@ -121,10 +121,14 @@
     ranked.iter().map(|r| r.candidate.key).collect()
 }
 
+/// A candidate with its sort key.
 struct Ranked<'a> {
     candidate: &'a Candidate,
+    /// Expected wait, with the costs and savings of the target.
     cost: Duration,
+    /// Whether the target's weight excludes it from this choice on equal terms.
     demoted: bool,
+    /// Random tie-breaker.
     tie: u32,
 }
 
--- a/crates/stair-policy/src/keep_alive.rs
+++ b/crates/stair-policy/src/keep_alive.rs
@@ -22,7 +22,7 @@
     pub cold_start_weight: f64,
     /// Least keep-alive time: unloading and reloading at once only uses up the store's load rate.
     pub min_idle: Duration,
-    /// Longest keep-alive time.
+    /// Longest keep-alive time. Longer idle times always end in a cold start.
     pub max_idle: Duration,
     /// Observations needed before the histogram is used. With fewer, a single outlier would decide.
     pub min_samples: u16,
--- a/crates/stair-policy/src/load_slots.rs
+++ b/crates/stair-policy/src/load_slots.rs
@@ -39,6 +39,7 @@
     }
 }
 
+/// A load that waits for a slot.
 #[derive(Debug, Clone, Copy)]
 struct Waiter<K> {
     key: K,
@@ -47,6 +48,7 @@
     since: Duration,
 }
 
+/// A leased slot.
 #[derive(Debug, Clone, Copy)]
 struct Lease<K> {
     key: K,
@@ -202,6 +204,7 @@
 /// Lower bound of the rate; a rate of zero would stop all loads.
 const MIN_RATE: f64 = 0.01;
 
+/// Sort key of waiting loads; the least is the most urgent.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct Urgency {
     rank: u8,
--- a/crates/stair-policy/src/placement.rs
+++ b/crates/stair-policy/src/placement.rs
@@ -1,9 +1,9 @@
 //! Decides which targets are granted a model.
 //!
-//! Models are many, few of them are busy, and VMs are added and removed all the time. Placement never
-//! exceeds the declared number of replicas, spreads the replicas of a model over data centres,
-//! balances granted memory over targets, and moves a grant only when it must: each move costs a
-//! load from the weight store.
+//! There are many models, few of them busy, and VMs are added and removed all the time. Placement never
+//! exceeds the declared number of replicas, and spreads the replicas of a model over data centres, so
+//! that the failure of one does not remove all of them. It balances granted memory over targets, and
+//! moves a grant only when necessary, since each move costs a load from the weight store.
 //!
 //! The cost per model does not grow with the fleet: a few candidates in each data centre are found by
 //! hash, and the search continues only when none of them fits.
--- a/crates/stair-policy/src/queue/forecast.rs
+++ b/crates/stair-policy/src/queue/forecast.rs
@@ -22,9 +22,9 @@
 /// A tier's share of the engine, in slots.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Share {
-    /// The share that higher tiers leave, less the floor shares of lower tiers with waiting items.
+    /// Share left by arrivals that run first and by the floor shares of lower tiers with waiting items.
     by_rank: f64,
-    /// The floor share.
+    /// The tier's floor share, less arrivals of the tier that run first.
     floor: f64,
 }
 
@@ -124,6 +124,7 @@
         }
     }
 
+    /// Refuses an item because the queue or its tier is full.
     pub(super) fn refuse_full(&self, now: Duration, at: usize, est: &Estimate) -> Outcome<K> {
         // By then half of the waiting work has drained, so the queue has capacity again.
         let share = self.share(now, at, false, est);
--- a/crates/stair-policy/src/queue/mod.rs
+++ b/crates/stair-policy/src/queue/mod.rs
@@ -174,7 +174,8 @@
     /// Removes all items that could not finish in time even if they started now, and returns their
     /// keys.
     ///
-    /// They are to be refused at once: a client that is refused early can still use another service.
+    /// They are to be refused at once: a response after the deadline is of no use, and a client that is
+    /// refused early can still use another service.
     pub fn expire(&mut self, now: Duration) -> Vec<K> {
         let mut expired = Vec::new();
         for tier in &mut self.tiers {
@@ -217,7 +218,7 @@
     }
 
     /// Finds capacity for an item, or the item to displace for it: the one of the lowest tier with the
-    /// latest deadline and enough bytes.
+    /// latest deadline and enough bytes, which is the most likely to be late in any case.
     ///
     /// An item never displaces one of its own tier, since an admitted item has been promised to run.
     fn find_capacity(&self, at: usize, bytes: u32) -> Capacity {
--- a/crates/stair-policy/tests/queue.rs
+++ b/crates/stair-policy/tests/queue.rs
@@ -104,8 +104,8 @@
     assert_eq!(drain(&mut q), [2, 3, 1]);
 }
 
-// An item of 20 s with time to spare comes before a short one by deadline. By deadline alone, the short
-// one would wait for the whole run.
+// An item of 20 s has slack and an earlier deadline than a short one. By deadline alone, the short one
+// would wait for the whole run.
 #[test]
 fn short_first() {
     let mut q = queue(10, &[0]);
--- a/crates/stair-sidecar/src/controller.rs
+++ b/crates/stair-sidecar/src/controller.rs
@@ -71,6 +71,7 @@
     pub planned_on: u64,
 }
 
+/// An open load request.
 struct Pending {
     id: LoadRequestId,
     req: LoadRequest,
@@ -85,15 +86,17 @@
     model: Box<str>,
     from: CopyLocation,
     since: Duration,
+    /// Expected end.
     until: Duration,
     /// Loads from the weight store that run at the same time, including this one.
-    together: u32,
+    concurrent: u32,
 }
 
 /// A load that was ordered without a reply; the engine may still carry it out.
 struct UnconfirmedOrder {
     model: Box<str>,
     planned_on: u64,
+    /// Time after which it is no longer carried out.
     until: Duration,
 }
 
@@ -114,7 +117,7 @@
     /// when they count as unloading.
     unloading_adapters: Vec<(Box<str>, Duration)>,
     /// Models that get no new requests, to be unloaded once the requests in flight have ended.
-    evicting: Vec<Box<str>>,
+    draining: Vec<Box<str>>,
     /// Time before which no order is planned.
     not_before: Duration,
     /// Loads ordered from the present incarnation of the engine, without a reply.
@@ -189,7 +192,7 @@
 
     /// Records what an entry has sent to the engine.
     pub fn record_use(&mut self, link: LinkKey, list: &[Used], now: Duration) {
-        self.usage.take(link, list, now);
+        self.usage.record_sent(link, list, now);
     }
 
     /// Records a rejected request for a model that no engine could load in time.
@@ -197,11 +200,11 @@
         self.unserved.count(model, now);
     }
 
-    /// Whether a model is being evicted and gets no new requests.
-    pub fn is_evicting(&self, model: &str) -> bool {
+    /// Whether a model is draining: it gets no new requests and is to be unloaded.
+    pub fn is_draining(&self, model: &str) -> bool {
         let unloading = self.in_progress.as_ref().filter(|d| !d.load);
         let ordered = unloading.is_some_and(|d| *d.model == *model);
-        ordered || self.evicting.iter().any(|m| **m == *model)
+        ordered || self.draining.iter().any(|m| **m == *model)
     }
 
     /// Records a prompt whose prefill takes `work`, and whether it was admitted to a prefill slot.
@@ -215,7 +218,7 @@
         self.usage.remove_link(link);
     }
 
-    /// Updates the state from a reading of the engine, `None` when the engine is unresponsive.
+    /// Updates the state from a reading of the engine, `None` when it could not be read.
     ///
     /// Returns whether the engine has restarted under the same id since the previous reading.
     pub fn read(&mut self, reading: Option<Reading>, now: Duration) -> bool {
@@ -238,18 +241,18 @@
             let fetches = in_progress.load && in_progress.from == CopyLocation::Store;
             if fetches && reading.holds.model(&in_progress.model).is_some() {
                 let fetched = Fetched {
-                    concurrent: in_progress.together,
-                    slowdown: self.times(&in_progress, now),
+                    concurrent: in_progress.concurrent,
+                    slowdown: self.slowdown(&in_progress, now),
                 };
                 self.fetched = Some((fetched, now));
             }
         }
         self.unloading_adapters.retain(|(name, until)| {
-            let held = name.split_once('/').is_some_and(|(model, adapter)| {
-                let held = reading.holds.model(model);
-                held.is_some_and(|h| h.adapters.iter().any(|a| **a == *adapter))
+            let loaded = name.split_once('/').is_some_and(|(model, adapter)| {
+                let loaded = reading.holds.model(model);
+                loaded.is_some_and(|h| h.adapters.iter().any(|a| **a == *adapter))
             });
-            held && now < *until
+            loaded && now < *until
         });
         // A load that takes longer than expected still has some time left.
         if let Some(in_progress) = &mut self.in_progress
@@ -272,8 +275,8 @@
             return;
         }
         let rate = |m: &str| self.usage.rate(m, now);
-        let held = before.holds.models.iter().map(|h| &h.name);
-        let mut lost: Vec<Box<str>> = held.filter(|m| rate(m) > 0.0).cloned().collect();
+        let loaded = before.holds.models.iter().map(|h| &h.name);
+        let mut lost: Vec<Box<str>> = loaded.filter(|m| rate(m) > 0.0).cloned().collect();
         lost.sort_by(|a, b| rate(b).total_cmp(&rate(a)));
         for model in lost {
             let id = LoadRequestId {
@@ -326,7 +329,7 @@
                 if planned.load && from == CopyLocation::Store {
                     self.fetch_began = Some(now);
                 }
-                let mut asked = self
+                let mut load_requests = self
                     .load_requests
                     .iter()
                     .filter(|p| p.req.model == planned.model);
@@ -335,7 +338,7 @@
                     model: planned.model.clone(),
                     from,
                     since: now,
-                    together: asked.find_map(|p| p.req.fetch).unwrap_or(1),
+                    concurrent: load_requests.find_map(|p| p.req.fetch).unwrap_or(1),
                     until: now + self.load_time(&planned.model, from),
                 });
             }
@@ -369,7 +372,8 @@
         }
     }
 
-    /// Removes the load requests whose outcome is known, and returns their outcomes.
+    /// Removes the load requests whose outcome is known, and returns their outcomes. `control` is whether
+    /// the agent may send orders now.
     pub fn resolve(&mut self, control: bool, now: Duration) -> Vec<(LoadRequestId, Outcome)> {
         let mut out = Vec::new();
         let load_requests = std::mem::take(&mut self.load_requests);
@@ -386,7 +390,7 @@
             }
         }
         if self.load_requests.is_empty() {
-            self.evicting.clear();
+            self.draining.clear();
         }
         out
     }
@@ -416,14 +420,14 @@
     }
 
     fn ready(&self, req: &LoadRequest) -> bool {
-        let held = self
+        let loaded = self
             .reading
             .as_ref()
             .and_then(|r| r.holds.model(&req.model));
-        let evicting = self.is_evicting(&req.model);
-        match (held, &req.adapter) {
-            (Some(_), None) => !evicting,
-            (Some(held), Some(a)) => !evicting && held.adapters.iter().any(|x| x == a),
+        let draining = self.is_draining(&req.model);
+        match (loaded, &req.adapter) {
+            (Some(_), None) => !draining,
+            (Some(loaded), Some(a)) => !draining && loaded.adapters.iter().any(|x| x == a),
             (None, _) => false,
         }
     }
@@ -450,7 +454,7 @@
     }
 
     /// Ratio of the time that a load has taken to its declared time; 0 when none is declared.
-    fn times(&self, in_progress: &OrderInProgress, now: Duration) -> f32 {
+    fn slowdown(&self, in_progress: &OrderInProgress, now: Duration) -> f32 {
         let declared = self.load_time(&in_progress.model, in_progress.from);
         let taken = now.saturating_sub(in_progress.since);
         match declared.is_zero() {
--- a/crates/stair-sidecar/src/controller/plan.rs
+++ b/crates/stair-sidecar/src/controller/plan.rs
@@ -22,8 +22,8 @@
 enum LoadPlan {
     /// The order that loads the model, or that unloads another one for it.
     Now(PlannedOrder),
-    /// All candidates for eviction were requested recently or are in use. Names the model that is to
-    /// get no new requests, if one is chosen.
+    /// All models that could be evicted were requested recently or are in use. The model to drain, if
+    /// one was chosen.
     Later(Option<Box<str>>),
     /// The engine's memory is too small for the model, or the model is not declared.
     Never,
@@ -37,6 +37,7 @@
     /// Load requests that clients wait for; prefetches don't count.
     waiting: usize,
     from: CopyLocation,
+    /// Expected load time.
     takes: Duration,
 }
 
@@ -65,8 +66,8 @@
         if let Some(planned) = self.next_adapter(now) {
             return Some(planned);
         }
-        let before = std::mem::take(&mut self.evicting);
-        let mut unloadable = Vec::new();
+        let before = std::mem::take(&mut self.draining);
+        let mut impossible = Vec::new();
         let mut planned = None;
         for i in self.models_to_load(now) {
             match self.plan_load(&self.load_requests[i], &before, now) {
@@ -76,15 +77,15 @@
                 }
                 LoadPlan::Later(None) => {}
                 // One victim at a time: its memory may suffice for the next request as well.
-                LoadPlan::Later(Some(victim)) if self.evicting.is_empty() => {
-                    self.evicting.push(victim);
+                LoadPlan::Later(Some(victim)) if self.draining.is_empty() => {
+                    self.draining.push(victim);
                 }
                 LoadPlan::Later(Some(_)) => {}
-                LoadPlan::Never => unloadable.push(i),
+                LoadPlan::Never => impossible.push(i),
             }
         }
-        unloadable.sort_unstable();
-        for i in unloadable.into_iter().rev() {
+        impossible.sort_unstable();
+        for i in impossible.into_iter().rev() {
             let p = self.load_requests.remove(i);
             refused.push((p.id, Outcome::NoCapacity));
         }
@@ -136,12 +137,13 @@
 
     /// Total time of the requested loads from copies that have not begun. Loads from the weight store
     /// come after them, unless many requests wait for one.
-    pub(super) fn to_load(&self) -> Duration {
+    pub(super) fn queued_load_time(&self) -> Duration {
         let missing_models = self.missing_models();
-        let near = missing_models
+        let from_copies = missing_models
             .iter()
             .filter(|a| a.from != CopyLocation::Store);
-        near.filter(|a| !self.is_loading(a.model))
+        from_copies
+            .filter(|a| !self.is_loading(a.model))
             .map(|a| a.takes)
             .sum()
     }
@@ -151,7 +153,7 @@
     /// An engine accepts no order while it unloads a model, and the unload waits for the model's
     /// streams. So a victim with requests in flight first gets no new ones, and is unloaded when those
     /// have ended; meanwhile the engine accepts orders that need no such wait.
-    fn plan_load(&self, pending: &Pending, evicting: &[Box<str>], now: Duration) -> LoadPlan {
+    fn plan_load(&self, pending: &Pending, draining: &[Box<str>], now: Duration) -> LoadPlan {
         let req = &pending.req;
         let (Some(decl), Some(reading)) = (&self.decl, &self.reading) else {
             return LoadPlan::Never;
@@ -189,21 +191,22 @@
             return LoadPlan::Now(planned(false, victim));
         }
         let mut busy = named.filter(|v| {
-            let begun = evicting.iter().any(|m| **m == **v);
+            let begun = draining.iter().any(|m| **m == **v);
             begun || req.prefetch || self.usage.eviction_hold_elapsed(v, now)
         });
         LoadPlan::Later(busy.next().map(Into::into))
     }
 
+    /// Returns the next order to load a requested adapter, or to unload another one for it.
     fn next_adapter(&self, now: Duration) -> Option<PlannedOrder> {
         let decl = self.decl.as_ref()?;
         let reading = self.reading.as_ref()?;
         let (model, adapter) = self.load_requests.iter().find_map(|p| {
             let adapter = p.req.adapter.as_ref()?;
-            let held = reading.holds.model(&p.req.model)?;
+            let loaded = reading.holds.model(&p.req.model)?;
             let key = key(&p.req.model, Some(adapter));
-            let there = held.adapters.contains(adapter) || reading.pending.contains(&key);
-            (!there).then_some((&p.req.model, adapter))
+            let available = loaded.adapters.contains(adapter) || reading.pending.contains(&key);
+            (!available).then_some((&p.req.model, adapter))
         })?;
         let count: usize = reading.holds.models.iter().map(|h| h.adapters.len()).sum();
         let slots = decl.adapter_slots as usize;
--- a/crates/stair-sidecar/src/controller/report.rs
+++ b/crates/stair-sidecar/src/controller/report.rs
@@ -46,17 +46,17 @@
                 model: d.model.clone(),
                 from: d.from,
                 remaining: d.until.saturating_sub(now),
-                slowdown: self.times(d, now),
+                slowdown: self.slowdown(d, now),
             });
         let unloading = self
             .in_progress
             .as_ref()
             .filter(|d| !d.load)
             .map(|d| &d.model);
-        let mut leaving: Vec<Box<str>> = self.evicting.clone();
-        leaving.extend(unloading.cloned());
-        leaving.sort();
-        leaving.dedup();
+        let mut draining: Vec<Box<str>> = self.draining.clone();
+        draining.extend(unloading.cloned());
+        draining.sort();
+        draining.dedup();
         let mut usage: Vec<Usage> = reading
             .holds
             .models
@@ -79,9 +79,9 @@
             total_tokens: reading.total_tokens,
             loading,
             fetched: self.fetched(now),
-            queued_load_time: self.to_load(),
+            queued_load_time: self.queued_load_time(),
             unloading: unloading.is_some(),
-            draining: leaving,
+            draining,
             free_adapters: self.free_adapters(),
             usage,
             unserved: self.unserved(now),
@@ -110,8 +110,8 @@
             let name = key(model, Some(adapter));
             self.usage.in_flight(&name) > 0
         };
-        let held = reading.holds.models.iter();
-        let used: usize = held
+        let loaded = reading.holds.models.iter();
+        let used: usize = loaded
             .map(|h| h.adapters.iter().filter(|a| in_use(&h.name, a)).count())
             .sum();
         let used = u32::try_from(used + reading.pending.len()).unwrap_or(u32::MAX);
--- a/crates/stair-sidecar/src/process.rs
+++ b/crates/stair-sidecar/src/process.rs
@@ -173,9 +173,9 @@
 async fn request_dump(events: mpsc::Sender<Event>) -> Value {
     let (tx, rx) = oneshot::channel();
     // Both fail only while the process is stopping.
-    let asked = events.send(Event::Dump(tx)).await.is_ok();
+    let sent = events.send(Event::Dump(tx)).await.is_ok();
     match rx.await {
-        Ok(dump) if asked => json!(dump),
+        Ok(dump) if sent => json!(dump),
         _ => json!({ "stopping": true }),
     }
 }
@@ -189,6 +189,7 @@
     published_peers: Option<Peers>,
 }
 
+/// The state of the main loop.
 struct Agent {
     settings: SidecarSettings,
     started: Instant,
@@ -262,7 +263,7 @@
         let mut peers_at = Instant::now();
         loop {
             tokio::select! {
-                Some(event) = rx.recv() => self.take(event),
+                Some(event) = rx.recv() => self.handle(event),
                 Some(token) = fences.recv() => {
                     Line::new("fence.raised").num("token", token).write();
                     self.fence = Some(token);
@@ -295,6 +296,7 @@
         }
     }
 
+    /// Reads the engine and passes the result to the controller.
     async fn read(&mut self) {
         match self.engine.read().await {
             Ok((reading, incarnation)) => {
@@ -398,6 +400,7 @@
         matches!(reply, Some(Accepted | Holds))
     }
 
+    /// Sends the outcomes of load requests to the entries that requested the loads.
     fn send_outcomes(&mut self, resolved: Vec<(LoadRequestId, Outcome)>) {
         for (id, outcome) in resolved {
             Line::new("want.done")
@@ -414,6 +417,7 @@
         }
     }
 
+    /// Raises the fencing token in the background, until an attempt succeeds.
     fn raise_fence(&self) {
         let store = self.store.clone();
         let vm = self.settings.name.clone();
@@ -436,6 +440,7 @@
     }
 }
 
+/// Waits until `stop` turns true.
 async fn stopped(stop: &mut watch::Receiver<bool>) {
     // An error means that the sender was dropped, which happens only when the process stops.
     let _ = stop.wait_for(|s| *s).await;
--- a/crates/stair-sidecar/src/process/publish.rs
+++ b/crates/stair-sidecar/src/process/publish.rs
@@ -23,7 +23,7 @@
 /// Pause between reports without a change. After three missed ones, entries regard the agent as dead.
 const REPORT_INTERVAL: Duration = Duration::from_millis(900);
 
-/// Time for an entry to send the declaration; after that another entry is asked for it.
+/// Time for an entry to send the declaration; after that it may be requested from another entry.
 const DECLARE_TIMEOUT: Duration = Duration::from_millis(300);
 
 /// Least pause between reports when only the amount of work has changed.
@@ -72,7 +72,7 @@
         }
         let link = self.links.iter().find(|l| l.key == key);
         // The queue of an entry that does not read is full; the next entry with a newer declaration
-        // is asked for it.
+        // receives the request.
         if link.is_some_and(|l| l.tx.try_send(ToEntry::DeclarationRequest).is_ok()) {
             self.declaration_requested_at = Some(Instant::now());
         }
@@ -85,15 +85,15 @@
     /// Sends the inventory and the load to all entries if they have changed, and the load as a
     /// heartbeat.
     pub(super) fn publish(&mut self) {
-        let holds = self.controller.inventory();
-        if self.published_inventory.as_ref() != Some(&holds) {
-            log_inventory(&holds);
+        let inventory = self.controller.inventory();
+        if self.published_inventory.as_ref() != Some(&inventory) {
+            log_inventory(&inventory);
             let before = self.published_inventory.iter().flat_map(|h| &h.models);
-            for gone in before.filter(|h| holds.model(&h.name).is_none()) {
-                self.prefills.unloaded(&gone.name);
+            for unloaded_model in before.filter(|h| inventory.model(&h.name).is_none()) {
+                self.prefills.unloaded(&unloaded_model.name);
             }
-            self.broadcast(&ToEntry::Inventory(Box::new(holds.clone())));
-            self.published_inventory = Some(holds);
+            self.broadcast(&ToEntry::Inventory(Box::new(inventory.clone())));
+            self.published_inventory = Some(inventory);
         }
         let load = self.load();
         if self.load_is_due(&load) {
@@ -144,13 +144,13 @@
         let Some(link) = self.links.iter().find(|l| l.key == key) else {
             return;
         };
-        let holds = ToEntry::Inventory(Box::new(self.controller.inventory()));
+        let inventory = ToEntry::Inventory(Box::new(self.controller.inventory()));
         let load = ToEntry::Load(Box::new(self.load()));
         let stale = self
             .stale_incarnation
             .clone()
             .map(ToEntry::StaleIncarnation);
-        for msg in [holds, load].into_iter().chain(stale) {
+        for msg in [inventory, load].into_iter().chain(stale) {
             if link.tx.try_send(msg).is_err() {
                 self.page.count("untold_total", &[], 1);
             }
@@ -169,14 +169,14 @@
 }
 
 /// Logs the new inventory of the engine.
-fn log_inventory(holds: &Inventory) {
-    let models = holds.models.iter().map(|h| match h.adapters.len() {
+fn log_inventory(inventory: &Inventory) {
+    let models = inventory.models.iter().map(|h| match h.adapters.len() {
         0 => h.name.to_string(),
         _ => format!("{}+{}", h.name, h.adapters.join("+")),
     });
     Line::failure("holds")
         .text("models", &models.collect::<Vec<_>>().join(" "))
-        .text("in_memory", &holds.in_memory.join(" "))
-        .text("on_disk", &holds.on_disk.join(" "))
+        .text("in_memory", &inventory.in_memory.join(" "))
+        .text("on_disk", &inventory.on_disk.join(" "))
         .write();
 }
--- a/crates/stair-sidecar/src/process/receive.rs
+++ b/crates/stair-sidecar/src/process/receive.rs
@@ -20,7 +20,7 @@
 };
 
 impl Agent {
-    pub(super) fn take(&mut self, event: Event) {
+    pub(super) fn handle(&mut self, event: Event) {
         match event {
             Event::Opened(key, tx) => {
                 self.links.push(Link {
@@ -90,7 +90,7 @@
                 self.controller.cancel(LoadRequestId { link: key, seq });
             }
             ToAgent::Prefill { seq, request } => {
-                let reply = if self.controller.is_evicting(&request.model) {
+                let reply = if self.controller.is_draining(&request.model) {
                     Reply::model_draining(&request)
                 } else {
                     self.prefills
@@ -131,6 +131,7 @@
         self.broadcast(&ToEntry::StaleIncarnation(id));
     }
 
+    /// Replaces the engine's present incarnation, unless `id` is stale or the revision older.
     pub(super) fn update_incarnation(&mut self, id: Box<str>, revision: u64) {
         // A lagging entry still states the previous incarnation.
         if self.stale_incarnation.as_ref() == Some(&id) {
--- a/crates/stair-sidecar/src/quarantine.rs
+++ b/crates/stair-sidecar/src/quarantine.rs
@@ -129,6 +129,7 @@
         self.lock().ledger.clone()
     }
 
+    /// Applies the crash reports whose delay has passed, and sends the resulting notices.
     fn settle(&self) {
         let now = self.now();
         let mut inner = self.lock();
@@ -136,6 +137,7 @@
         self.publish(&inner, &new);
     }
 
+    /// Logs and counts new notices, and sends them to all entries.
     fn publish(&self, inner: &Inner, new: &[Notice]) {
         if new.is_empty() {
             return;
--- a/crates/stair-sidecar/src/usage.rs
+++ b/crates/stair-sidecar/src/usage.rs
@@ -68,7 +68,7 @@
     }
 
     /// Records what an entry has sent and what it has in flight.
-    pub fn take(&mut self, link: LinkKey, list: &[Used], now: Duration) {
+    pub fn record_sent(&mut self, link: LinkKey, list: &[Used], now: Duration) {
         for used in list {
             let entry = self.entry(&used.model, now);
             entry.per_s += f64::from(used.sent) / RATE_TIME_CONSTANT_S;
--- a/crates/stair-sidecar/tests/controller.rs
+++ b/crates/stair-sidecar/tests/controller.rs
@@ -334,9 +334,9 @@
     ctl.read(Some(reading(0, &[])), ms(1000));
     assert_eq!(next(&mut ctl, ms(1000)), None);
     ctl.request_load(id(2), req("a", None), ms(1000));
-    let near = next(&mut ctl, ms(1000));
+    let from_copy = next(&mut ctl, ms(1000));
     assert_eq!(
-        near,
+        from_copy,
         Some(planned(true, "a", None, 0)),
         "copies may be used"
     );
@@ -393,7 +393,7 @@
     request.victims = vec!["a".into()];
     ctl.request_load(id(1), request, ms(1000));
     assert_eq!(next(&mut ctl, ms(1000)), None);
-    assert!(ctl.is_evicting("a") && !ctl.is_evicting("b"));
+    assert!(ctl.is_draining("a") && !ctl.is_draining("b"));
     assert_eq!(ctl.load(ms(1000)).draining, vec!["a".into()]);
     ctl.request_load(id(2), req("b", Some("x")), ms(1010));
     assert_eq!(
@@ -417,7 +417,7 @@
     assert_eq!(next(&mut ctl, ms(1000)), None);
     ctl.cancel(id(1));
     ctl.resolve(true, ms(1010));
-    assert!(!ctl.is_evicting("a") && !ctl.has_load_requests());
+    assert!(!ctl.is_draining("a") && !ctl.has_load_requests());
 }
 
 /// Several requests wait for one model, and an older one for another. In the order of age, all of them
--- a/crates/stair-sidecar/tests/load.rs
+++ b/crates/stair-sidecar/tests/load.rs
@@ -299,7 +299,7 @@
     fn serve(&mut self, w: &mut Waiting, now: Duration) -> bool {
         let holds = |n: &usize| {
             let engine = &self.engines[*n];
-            engine.holds.model(&w.model).is_some() && !engine.controller.is_evicting(&w.model)
+            engine.holds.model(&w.model).is_some() && !engine.controller.is_draining(&w.model)
         };
         let stream_count = |n: &usize| self.engines[*n].streams.len();
         if let Some(n) = (0..ENGINES).filter(holds).min_by_key(stream_count) {
