--- a/crates/stair-policy/src/choose.rs
+++ b/crates/stair-policy/src/choose.rs
@@ -1,10 +1,10 @@
 //! Orders the targets that may serve a request.
 //!
-//! Many entries choose at the same time among a few granted targets, on load reports that lag. The
-//! order prevents that all of them pick the target that was idle in the last report (herding), that a
-//! request waits for a cold start while a target with the model loaded has capacity, that
-//! prefix-cache affinity overloads the target of a popular prefix, and that a slow target gets a
-//! full share of the traffic.
+//! Many entries choose at the same time among a few granted targets, on load reports that lag. If all
+//! of them picked the target that was idle in the last report, it would be overloaded (herding), so
+//! stale reports decide only together with chance. A target with the model loaded is preferred to a
+//! cold start unless its wait is longer, prefix-cache affinity is bounded so that a popular prefix does
+//! not overload its target, and a slow target gets less than a full share.
 //!
 //! The cost of a choice depends on the number of candidates, not on the size of the fleet.
 
@@ -16,8 +16,8 @@
 /// Limits of the choice.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Options {
-    /// Age up to which a report counts as fresh. With an older one, other entries have probably sent
-    /// work that it does not include.
+    /// Age up to which a report decides alone. Other entries have probably sent work since an older
+    /// report.
     pub fresh_for: Duration,
     /// Wait added for each request that this entry has in flight, which the last report may not
     /// include.
@@ -103,7 +103,7 @@
         .map(|(key, _)| key)
 }
 
-/// Orders the candidates by preference; later ones are for when earlier ones refuse.
+/// Orders the candidates by preference. A later one is tried when the earlier ones have refused.
 pub fn order<R>(opts: &Options, candidates: &[Candidate], rng: &mut R) -> Vec<TargetKey>
 where
     R: Rng + ?Sized,
--- a/crates/stair-policy/src/keep_alive.rs
+++ b/crates/stair-policy/src/keep_alive.rs
@@ -20,9 +20,10 @@
     /// fewer idle hours are spent than with a fixed keep-alive of a minute, at no more cold start. 8
     /// suits clients that cannot wait.
     pub cold_start_weight: f64,
-    /// Least keep-alive time: unloading and reloading at once only uses up the store's load rate.
+    /// Least keep-alive time. Unloading a model and reloading it at once only uses up the store's load
+    /// rate.
     pub min_idle: Duration,
-    /// Longest keep-alive time. Longer idle times always end in a cold start.
+    /// Longest keep-alive time. Longer idle times end in a cold start.
     pub max_idle: Duration,
     /// Observations needed before the histogram is used. With fewer, a single outlier would decide.
     pub min_samples: u16,
--- a/crates/stair-policy/src/queue/mod.rs
+++ b/crates/stair-policy/src/queue/mod.rs
@@ -84,9 +84,8 @@
     /// Admits an item or refuses it.
     ///
     /// An item is refused when its expected end is after its deadline: running it would spend capacity
-    /// on a response that the client no longer uses. It is also refused when it would delay an
-    /// earlier item of its own tier beyond that item's deadline. A higher tier may delay a lower
-    /// one.
+    /// on a response that the client no longer uses. It is also refused when it would make an admitted
+    /// item of its own tier late. Items of lower tiers may become late: they have less priority.
     pub fn push(&mut self, now: Duration, item: Item<K>, est: &Estimate) -> Outcome<K> {
         let at = self.tier_of(item.rank);
         let lateness = self.lateness(now, at, &item, est);
--- a/crates/stair-sidecar/src/engine.rs
+++ b/crates/stair-sidecar/src/engine.rs
@@ -28,7 +28,7 @@
 /// Time for the reply to an order. An engine replies within milliseconds, or the reply is lost.
 const ORDER_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// Largest response body. A reading with all adapters is some kilobytes.
+/// Largest response body. A reading with all adapters is a few kilobytes.
 const MAX_RESPONSE_BYTES: usize = 1 << 20;
 
 /// Why a call to the engine failed.
