--- a/crates/stair-policy/examples/measure/engine.rs
+++ b/crates/stair-policy/examples/measure/engine.rs
@@ -19,7 +19,7 @@
     secs, //
 };
 
-/// One request of a scenario. Times in seconds.
+/// One request of a scenario. Times are in seconds.
 #[derive(Clone, Copy)]
 pub(crate) struct Job {
     pub(crate) rank: u8,
@@ -35,48 +35,48 @@
     }
 }
 
-/// How requests wait.
+/// The queueing discipline.
 #[derive(Clone)]
 pub(crate) enum Discipline {
-    /// First come, first served; 512 may wait.
+    /// First come, first served; [`FIFO_BOUND`] may wait.
     Fifo,
-    /// The same, but a request whose deadline has passed is not run.
+    /// The same, but requests are not started after their deadline.
     FifoDropLate,
-    /// The queue under test, with so many slots kept for short work.
+    /// The queue under test, with `short_slots` slots reserved for short requests.
     Queue { opts: Options, short_slots: usize },
 }
 
-/// What the callers of one class of requests saw.
-pub(crate) struct Seen {
+/// The results of one class of requests.
+pub(crate) struct ClassResults {
     pub(crate) offered: u64,
     pub(crate) in_time: u64,
     pub(crate) refused: u64,
     /// From arrival to start, of those that ran.
     pub(crate) wait: Samples,
-    /// From arrival to being told, of those that did not run.
-    pub(crate) told: Samples,
+    /// From arrival to refusal, of those that did not run.
+    pub(crate) refused_after: Samples,
 }
 
-impl Seen {
+impl ClassResults {
     fn new() -> Self {
         Self {
             offered: 0,
             in_time: 0,
             refused: 0,
             wait: Samples::new(),
-            told: Samples::new(),
+            refused_after: Samples::new(),
         }
     }
 }
 
-/// What a whole run gave.
+/// The results of a run.
 pub(crate) struct Report {
-    pub(crate) seen: Vec<Seen>,
-    /// Slot seconds spent on answers in time.
+    pub(crate) by_class: Vec<ClassResults>,
+    /// Slot seconds spent on responses in time.
     pub(crate) useful: f64,
-    /// Slot seconds spent on answers after the deadline.
+    /// Slot seconds spent on responses after the deadline.
     pub(crate) wasted: f64,
-    /// Until the last run ended.
+    /// Seconds until the last request ended.
     pub(crate) span: f64,
 }
 
@@ -95,7 +95,7 @@
     report: Report,
 }
 
-/// Runs the jobs, which are sorted by arrival, and sorts what callers saw into classes.
+/// Runs the jobs, which are sorted by arrival, and returns the results by class.
 pub(crate) fn run(
     jobs: &[Job],
     slots: usize,
@@ -113,7 +113,7 @@
         slots: (0..slots).map(|_| idle()).collect(),
         now: -1.0,
         report: Report {
-            seen: (0..class_count).map(|_| Seen::new()).collect(),
+            by_class: (0..class_count).map(|_| ClassResults::new()).collect(),
             useful: 0.0,
             wasted: 0.0,
             span: jobs.last().map_or(0.0, |j| j.arrived),
@@ -195,7 +195,7 @@
         }
     }
 
-    /// The next arrival, or the next slot that comes free while something waits.
+    /// Advances the time to the next arrival, or, while requests wait, to the next free slot.
     fn next_event(&mut self, next: usize, waiting: bool) -> Option<f64> {
         let now = self.now;
         let busy = self.slots.iter().map(|s| s.free_at).filter(|t| *t > now);
@@ -225,18 +225,18 @@
             true => self.report.useful += j.run,
             false => self.report.wasted += j.run,
         }
-        let seen = &mut self.report.seen[(self.classes)(&j)];
-        seen.offered += 1;
-        seen.in_time += u64::from(in_time);
-        seen.wait.add(now - j.arrived);
+        let results = &mut self.report.by_class[(self.classes)(&j)];
+        results.offered += 1;
+        results.in_time += u64::from(in_time);
+        results.wait.add(now - j.arrived);
     }
 
     fn refuse(&mut self, job: usize, now: f64) {
         let j = &self.jobs[job];
-        let seen = &mut self.report.seen[(self.classes)(j)];
-        seen.offered += 1;
-        seen.refused += 1;
-        seen.told.add(now - j.arrived);
+        let results = &mut self.report.by_class[(self.classes)(j)];
+        results.offered += 1;
+        results.refused += 1;
+        results.refused_after.add(now - j.arrived);
     }
 }
 
--- a/crates/stair-policy/examples/measure/idle.rs
+++ b/crates/stair-policy/examples/measure/idle.rs
@@ -1,4 +1,4 @@
-//! Idle accelerator hours against cold starts, over two days of skewed demand.
+//! Idle accelerator hours against cold starts, with skewed demand over 48 simulated hours.
 
 use rand::{
     RngExt,
@@ -29,20 +29,21 @@
 const SPAN: f64 = 48.0 * 3_600.0;
 const MAX_IDLE: f64 = 1_800.0;
 
-/// A catalogue: base models and adapters.
+/// A catalogue of base models and adapters.
 struct Catalogue {
     name: &'static str,
     models: usize,
     adapters: usize,
-    rhythm: bool,
+    /// Whether each model has a regular request interval.
+    regular: bool,
 }
 
-/// A model or an adapter, its cold start and the moments it is asked for.
+/// A model or an adapter with its requests. Times are in seconds.
 struct Demand {
     cold_start: f64,
-    /// Part of an accelerator that it holds.
+    /// Fraction of an accelerator that it occupies.
     size: f64,
-    asked: Vec<f64>,
+    arrivals: Vec<f64>,
 }
 
 impl Demand {
@@ -54,13 +55,13 @@
     }
 }
 
-/// When an idle model is unloaded.
+/// The rule by which an idle model is unloaded.
 #[derive(Clone, Copy)]
 enum Rule {
     Fixed(f64),
-    /// The break-even time, for what a second of cold start is worth.
+    /// The break-even time, for a cost of a second of cold start.
     SkiRental(f64),
-    /// The rule under test, for the same.
+    /// The rule under test, for the same cost.
     Histogram(f64),
 }
 
@@ -81,16 +82,16 @@
     cold_seconds: f64,
 }
 
-/// Sessions of requests at a rhythm of the model's own, with long quiet times between them. The
-/// first few models have most of the demand.
+/// Generates sessions of requests at an interval of each model's own, with long idle times between them.
+/// The first few models have most of the demand.
 fn demand(catalogue: &Catalogue) -> Vec<Demand> {
     let mut rng = StdRng::seed_from_u64(41);
     let count = catalogue.models + catalogue.adapters;
     let one = |n: usize| {
         let adapter = n >= catalogue.models;
         let place = if adapter { n - catalogue.models } else { n };
-        let quiet = 600.0 * (place + 1) as f64;
-        let rhythm = rng.random_range(10.0..180.0);
+        let mean_idle = 600.0 * (place + 1) as f64;
+        let gap = rng.random_range(10.0..180.0);
         Demand {
             cold_start: if adapter {
                 rng.random_range(1.0..4.0)
@@ -98,27 +99,27 @@
                 rng.random_range(5.0..40.0)
             },
             size: if adapter { 0.05 } else { 1.0 },
-            asked: sessions(&mut rng, quiet, rhythm, catalogue.rhythm),
+            arrivals: sessions(&mut rng, mean_idle, gap, catalogue.regular),
         }
     };
     (0..count).map(one).collect()
 }
 
-fn sessions(rng: &mut StdRng, quiet: f64, gap: f64, rhythm: bool) -> Vec<f64> {
-    let mut asked = Vec::new();
-    let mut now = exponential(rng, quiet);
+fn sessions(rng: &mut StdRng, mean_idle: f64, gap: f64, regular: bool) -> Vec<f64> {
+    let mut arrivals = Vec::new();
+    let mut now = exponential(rng, mean_idle);
     while now < SPAN {
         let requests = rng.random_range(5..60);
         for _ in 0..requests {
-            asked.push(now);
-            now += match rhythm {
+            arrivals.push(now);
+            now += match regular {
                 true => gap * rng.random_range(0.3..1.7),
                 false => exponential(rng, gap),
             };
         }
-        now += exponential(rng, quiet);
+        now += exponential(rng, mean_idle);
     }
-    asked
+    arrivals
 }
 
 fn run(demand: &[Demand], rule: Rule) -> Report {
@@ -140,23 +141,23 @@
         let model = ModelKey(n as u32);
         let mut kept_until = 0.0;
         let mut last = 0.0;
-        for asked in d.asked.iter().copied() {
-            keep_alive.used(model, secs(asked));
-            let cold = asked > kept_until;
+        for arrival in d.arrivals.iter().copied() {
+            keep_alive.used(model, secs(arrival));
+            let cold = arrival > kept_until;
             report.cold.add(if cold { d.cold_start } else { 0.0 });
             if cold {
                 report.loads += 1;
                 report.cold_seconds += d.cold_start;
             }
-            report.idle_hours += (asked.min(kept_until) - last).max(0.0) * d.size / 3_600.0;
-            last = asked;
+            report.idle_hours += (arrival.min(kept_until) - last).max(0.0) * d.size / 3_600.0;
+            last = arrival;
             kept_until = match rule {
-                Rule::Fixed(t) => asked + t,
+                Rule::Fixed(t) => arrival + t,
                 Rule::SkiRental(weight) => {
-                    asked + (weight * d.cold_start / d.size).clamp(5.0, MAX_IDLE)
+                    arrival + (weight * d.cold_start / d.size).clamp(5.0, MAX_IDLE)
                 }
                 Rule::Histogram(_) => keep_alive
-                    .idle_until(model, secs(asked), &d.cost())
+                    .idle_until(model, secs(arrival), &d.cost())
                     .as_secs_f64(),
             };
         }
@@ -165,14 +166,14 @@
     report
 }
 
-/// The curve of idle accelerator hours against cold starts, for both users.
+/// The curves of idle accelerator hours against cold starts, one per catalogue.
 pub(crate) fn curve() -> Vec<Plot> {
     let mut plots = Vec::new();
     head(
         "Idle accelerator hours against cold starts",
-        "Two days; each model has sessions of 5 to 60 requests at a rhythm of its own (10 to 180 s), \
-         and quiet times of 10 minutes to 19 hours in the mean. Cold start 5 to 40 s, of an adapter 1 to 4 s; \
-         an adapter holds a twentieth of an accelerator. Without rhythm the times between requests are \
+        "Two days; each model has sessions of 5 to 60 requests at an interval of its own (10 to 180 s), \
+         and idle times of 10 minutes to 19 hours in the mean. Cold start 5 to 40 s, of an adapter 1 to 4 s; \
+         an adapter holds a twentieth of an accelerator. Without a regular interval the times between requests are \
          exponential. The weight is the idle accelerator seconds \
          that a second of cold start is worth. Cold start over all requests, warm ones count as 0.",
         &[
@@ -190,19 +191,19 @@
             name: "Ordbrygga, 30 + 55",
             models: 30,
             adapters: 55,
-            rhythm: true,
+            regular: true,
         },
         Catalogue {
             name: "Gawahi, 33 + 115",
             models: 33,
             adapters: 115,
-            rhythm: true,
+            regular: true,
         },
         Catalogue {
-            name: "30 + 55, no rhythm",
+            name: "30 + 55, no regular interval",
             models: 30,
             adapters: 55,
-            rhythm: false,
+            regular: false,
         },
     ];
     for catalogue in &catalogues {
--- a/crates/stair-policy/tests/placement.rs
+++ b/crates/stair-policy/tests/placement.rs
@@ -73,16 +73,16 @@
 }
 
 #[test]
-fn holders_stay() {
+fn holders_unchanged() {
     let fleet = fleet(18, 3);
     let grants = held(&[4, 5, 6]);
     assert_eq!(plan(&fleet, &model(1, 3, &grants)), []);
 }
 
-// A VM leaves. Its grant is revoked, and the replacement waits until the grant is surely gone:
-// the model may still be loaded there, and a replacement would be one replica too many.
+// A VM drains. Its grant is revoked, and the replacement waits until the unload is confirmed: the model
+// may still be loaded there, and a replacement would exceed the number of replicas.
 #[test]
-fn leaving_replaced() {
+fn draining_replaced() {
     let mut fleet = fleet(18, 3);
     fleet.set_live(TargetKey(4), false);
     let mut grants = held(&[4, 5, 6]);
@@ -108,8 +108,8 @@
     let fleet = fleet(18, 3);
     let changes = plan(&fleet, &model(1, 2, &held(&[0, 3, 1])));
     assert_eq!(changes.len(), 1);
-    let from_crowd = [Change::Revoke(TargetKey(0)), Change::Revoke(TargetKey(3))];
-    assert!(from_crowd.contains(&changes[0]), "{changes:?}");
+    let from_fullest_centre = [Change::Revoke(TargetKey(0)), Change::Revoke(TargetKey(3))];
+    assert!(from_fullest_centre.contains(&changes[0]), "{changes:?}");
 }
 
 #[test]
@@ -125,9 +125,9 @@
     assert!(most * 10 <= mean * 13, "{most} against a mean of {mean}");
 }
 
-// A model larger than most VMs. A grant to a VM that cannot hold it would refuse every request.
+// The model needs more memory than most VMs have. A VM too small for it would refuse every request.
 #[test]
-fn small_skipped() {
+fn too_small_skipped() {
     let mut all: Vec<_> = (0..200).map(|k| target(k, 0)).collect();
     for t in &mut all[1..] {
         t.memory_mib = 10_000;
@@ -137,9 +137,9 @@
     assert_eq!(keys, [TargetKey(0)]);
 }
 
-// A tenth of the VMs is replaced. Only the grants of those move.
+// A tenth of the VMs is replaced. Only their grants move.
 #[test]
-fn little_moves() {
+fn only_lost_grants_move() {
     let before = fleet(100, 4);
     let grants: Vec<_> = (0..50)
         .map(|n| granted(&plan(&before, &model(n, 3, &[]))))
@@ -154,8 +154,8 @@
 }
 
 proptest! {
-    // Targets come and go, and the replicas are changed. Were a grant given before another was
-    // confirmed as gone, more replicas would be loaded than were decided.
+    // Targets drain, and the number of replicas changes. If a replacement were granted before the unload
+    // of a revoked grant is confirmed, more replicas than declared could be loaded.
     #[test]
     fn replicas_bounded(
         replicas in 0..6_u16,
