--- a/crates/stair-relay/src/attempt.rs
+++ b/crates/stair-relay/src/attempt.rs
@@ -20,9 +20,9 @@
     client::conn::http1::Builder, //
 };
 use hyper_util::rt::TokioIo;
-use platform_adapter::answer::{
+use platform_adapter::response::{
     self,
-    Said, //
+    ResponseKind, //
 };
 use tokio::{
     net::TcpStream,
@@ -120,20 +120,20 @@
 fn head(resp: Response<Incoming>, conn: Conn, id: &str) -> Outcome {
     let (head, body) = resp.into_parts();
     let status = head.status.as_u16();
-    let instance = answer::instance(&head.headers).map(Into::into);
-    match answer::read(head.status, &head.headers, id) {
-        Said::NotRun => Outcome::NotRun {
+    let instance = response::instance(&head.headers).map(Into::into);
+    match response::classify(head.status, &head.headers, id) {
+        ResponseKind::NotRun => Outcome::NotRun {
             misdirected: false,
             instance,
             status,
         },
-        Said::Misdirected => Outcome::NotRun {
+        ResponseKind::Misdirected => Outcome::NotRun {
             misdirected: true,
             instance,
             status,
         },
-        Said::Stray => Outcome::Lost("not an answer to this request".into()),
-        Said::Answer => Outcome::Head(Live {
+        ResponseKind::Unrelated => Outcome::Lost("not an answer to this request".into()),
+        ResponseKind::Genuine => Outcome::Head(Live {
             head,
             body,
             _conn: conn,
--- a/crates/stair-sidecar/src/engine.rs
+++ b/crates/stair-sidecar/src/engine.rs
@@ -6,7 +6,6 @@
 };
 
 use platform_adapter::{
-    answer,
     engine::{
         Order,
         Reading,
@@ -16,6 +15,7 @@
         reading_call,
         reply, //
     },
+    response,
 };
 use stair_http::client::{
     self,
@@ -71,7 +71,7 @@
     pub async fn read(&self) -> Result<(Reading, Option<Box<str>>), Error> {
         let response = self.client.send(reading_call(), READ_TIMEOUT).await?;
         let status = response.head.status;
-        let incarnation = answer::instance(&response.head.headers).map(Into::into);
+        let incarnation = response::instance(&response.head.headers).map(Into::into);
         let body = response.collect(MAX_RESPONSE_BYTES, READ_TIMEOUT).await?;
         if !status.is_success() {
             return Err(Error::Status(status.as_u16()));
@@ -88,7 +88,7 @@
     pub async fn order(&self, order: &Order) -> Result<(Reply, Option<Box<str>>), Error> {
         let response = self.client.send(order_call(order)?, ORDER_TIMEOUT).await?;
         let status = response.head.status;
-        let incarnation = answer::instance(&response.head.headers).map(Into::into);
+        let incarnation = response::instance(&response.head.headers).map(Into::into);
         response.collect(MAX_RESPONSE_BYTES, ORDER_TIMEOUT).await?;
         Ok((reply(status), incarnation))
     }
