--- a/crates/stair-relay/src/admit.rs
+++ b/crates/stair-relay/src/admit.rs
@@ -115,7 +115,10 @@
         }
     }
     let meta = Meta::decode(&head.headers);
-    let wait = meta.patience.unwrap_or(route.timeout).min(route.timeout);
+    let wait = meta
+        .client_timeout
+        .unwrap_or(route.timeout)
+        .min(route.timeout);
     let deadline = received + wait;
     let body = read_body(body, &head.headers, catalogue.limits.body_bytes, deadline).await?;
     let point = xxh3_64(meta.id.as_bytes()) as f64 / u64::MAX as f64;
@@ -163,7 +166,7 @@
         tokens: job
             .meta
             .prompt_tokens
-            .saturating_add(job.meta.answer_tokens),
+            .saturating_add(job.meta.response_tokens),
         objective: job.route.objective,
     };
     allowance::take(cx, workspace, &opts).await
@@ -277,12 +280,12 @@
             tokens: u32::try_from(*tokens).unwrap_or(u32::MAX),
         }
     };
-    meta.parts.iter().map(part).collect()
+    meta.prefix_blocks.iter().map(part).collect()
 }
 
 /// The part of the prompt that other requests share: all parts but the last.
 fn shared(meta: &Meta) -> Option<(u64, u64)> {
-    let (_, head) = meta.parts.split_last()?;
+    let (_, head) = meta.prefix_blocks.split_last()?;
     if head.is_empty() {
         return None;
     }
--- a/crates/stair-relay/src/job.rs
+++ b/crates/stair-relay/src/job.rs
@@ -161,7 +161,7 @@
             .then(|| FIRST_RANK.saturating_add(self.rank()).min(9));
         let attempt = Attempt {
             instance,
-            left: self.deadline.saturating_duration_since(Instant::now()),
+            remaining: self.deadline.saturating_duration_since(Instant::now()),
             rank,
             workspace: self.workspace.as_ref().map(|w| &*w.name),
             after_event,
