--- a/crates/stair-relay/src/admit.rs
+++ b/crates/stair-relay/src/admit.rs
@@ -116,7 +116,10 @@
         }
     }
     let meta = Meta::decode(&head.headers);
-    let wait = meta.patience.unwrap_or(route.timeout).min(route.timeout);
+    let wait = meta
+        .client_timeout
+        .unwrap_or(route.timeout)
+        .min(route.timeout);
     let deadline = received + wait;
     let body = read_body(body, &head.headers, catalogue.limits.body_bytes, deadline).await?;
     let point = xxh3_64(meta.id.as_bytes()) as f64 / u64::MAX as f64;
@@ -164,7 +167,7 @@
         tokens: job
             .meta
             .prompt_tokens
-            .saturating_add(job.meta.answer_tokens),
+            .saturating_add(job.meta.response_tokens),
         objective: job.route.objective,
     };
     quota::charge(cx, workspace, &opts).await
@@ -282,12 +285,12 @@
             tokens: u32::try_from(*tokens).unwrap_or(u32::MAX),
         }
     };
-    meta.parts.iter().map(part).collect()
+    meta.prefix_blocks.iter().map(part).collect()
 }
 
 /// The prefix of the prompt that other requests share, all blocks but the last: its tokens and its hash.
 fn shared_prefix(meta: &Meta) -> Option<(u64, u64)> {
-    let (_, head) = meta.parts.split_last()?;
+    let (_, head) = meta.prefix_blocks.split_last()?;
     if head.is_empty() {
         return None;
     }
