--- a/crates/stair-fleet/src/balance.rs
+++ b/crates/stair-fleet/src/balance.rs
@@ -31,11 +31,12 @@
 /// The least gain of a move that evicts nothing, in waiting requests.
 const MIN_GAIN_WITHOUT_EVICTION: f64 = 0.02;
 
-/// The same with evictions. Measured rates fluctuate, and without a least gain the next search
-/// would undo the move.
+/// The least gain of a move that evicts a replica, in waiting requests. Measured rates fluctuate,
+/// and without a least gain the next search would undo the move.
 const MIN_GAIN_WITH_EVICTION: f64 = 0.125;
 
-/// The same for a load from the weight store, which takes about as long as demand lasts.
+/// The least gain of a load from the weight store, in waiting requests. Such a load takes about as
+/// long as demand lasts.
 const MIN_GAIN_FROM_STORE: f64 = 0.2;
 
 /// Fraction of the gain that remains when a victim has requests in flight: its engine takes no
@@ -45,16 +46,16 @@
 /// Models considered for a load from the weight store: those with the busiest replicas.
 const MAX_STORE_MODELS: usize = 3;
 
-/// Engines considered for such a load: those with the least prefill.
+/// Engines considered for a load from the weight store: those with the least prefill.
 const MAX_STORE_ENGINES: usize = 8;
 
 /// Load of one engine.
 struct TargetLoad<'a> {
     key: TargetKey,
     state: &'a TargetState,
-    /// Whether it can be ordered to load now.
+    /// Whether the engine can be ordered to load now.
     can_load: bool,
-    /// Indexes of the models that it has loaded, is loading or was requested to load.
+    /// Indexes of the models that the engine has loaded, is loading or was requested to load.
     models: Vec<usize>,
     /// Fraction of its time that prefill takes.
     prefill_fraction: f64,
--- a/crates/stair-fleet/src/cold_start.rs
+++ b/crates/stair-fleet/src/cold_start.rs
@@ -43,7 +43,8 @@
 /// waits for a swap.
 const LAST_REPLICA_MS: f64 = 60.0;
 
-/// Added to that cost for each request per second.
+/// Increase of the eviction cost of a model's last replica for each request per second, in
+/// milliseconds.
 const LAST_REPLICA_MS_PER_RATE: f64 = 600.0;
 
 /// Eviction cost of a replica for each whole engine by which the remaining replicas become
@@ -70,7 +71,7 @@
 /// Why a model cannot be loaded now.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Error {
-    /// It has to come from the weight store, and the limit of concurrent loads is reached.
+    /// The model has to come from the weight store, and the limit of concurrent loads is reached.
     StoreBusy,
     /// The entry has just started and has no reports of some engines' copies.
     MissingReports,
--- a/crates/stair-fleet/src/fetch.rs
+++ b/crates/stair-fleet/src/fetch.rs
@@ -22,8 +22,8 @@
 /// Limit until a load has ended, if a declared load is as fast as an engine's link.
 const INITIAL_LIMIT_FAST_STORE: usize = 4;
 
-/// The same for slower loads: the weight store is then the bottleneck, and concurrent loads share
-/// it.
+/// Limit until a load has ended, if all declared loads are slower than an engine's link: the weight
+/// store is then the bottleneck, and concurrent loads share it.
 const INITIAL_LIMIT_SLOW_STORE: usize = 1;
 
 /// Throughput of an engine's link, in MB per second.
--- a/crates/stair-fleet/src/msg.rs
+++ b/crates/stair-fleet/src/msg.rs
@@ -120,7 +120,7 @@
     /// The number of concurrent loads from the weight store with this one, if it may come from
     /// there; `None` if it may not.
     pub fetch: Option<u32>,
-    /// Whether no request waits for it yet. Such a load yields to all others.
+    /// Whether no request waits for the load yet. Such a load yields to all others.
     pub prefetch: bool,
     /// Time after which the load is not needed any more.
     #[serde(rename = "of_use")]
--- a/crates/stair-fleet/src/prefetch.rs
+++ b/crates/stair-fleet/src/prefetch.rs
@@ -2,7 +2,7 @@
 //!
 //! Demand moves to other models within seconds, while a load from the weight store takes longer
 //! than most requests wait. One entry at a time, the one with the least name, makes these loads. If
-//! two entries do so for a while, the cost is an unnecessary load and nothing else.
+//! two entries make them for a while, the cost is an unnecessary load and nothing else.
 
 use std::time::Duration;
 
--- a/crates/stair-fleet/src/quarantine.rs
+++ b/crates/stair-fleet/src/quarantine.rs
@@ -84,11 +84,11 @@
 /// The standing of a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Standing {
-    /// It may crash the targets that run it.
+    /// The request may crash the targets that run it.
     Suspect,
-    /// It is not run for this time.
+    /// The request is not run for this time.
     Quarantined(Duration),
-    /// It has survived a run.
+    /// The request has survived a run.
     Cleared,
 }
 
--- a/crates/stair-fleet/src/quarantine/ledger.rs
+++ b/crates/stair-fleet/src/quarantine/ledger.rs
@@ -38,7 +38,7 @@
 pub struct Record {
     #[serde(serialize_with = "as_text")]
     fingerprint: Fingerprint,
-    /// Blame beyond that for the remembered crashes.
+    /// Blame that the request has in addition to its blame for the remembered crashes.
     #[serde(rename = "kept_blame")]
     retained_blame: u32,
     /// When it was last judged a suspect.
--- a/crates/stair-fleet/tests/quarantine.rs
+++ b/crates/stair-fleet/tests/quarantine.rs
@@ -40,7 +40,7 @@
     }
 }
 
-/// The same for a trial.
+/// A trial of the request that was interrupted right after it had begun.
 fn trial(n: usize) -> Run {
     Run {
         on_trial: true,
--- a/crates/stair-relay/src/admit.rs
+++ b/crates/stair-relay/src/admit.rs
@@ -78,7 +78,8 @@
 /// would truncate the response.
 const MIN_STREAM_DURATION: Duration = Duration::from_millis(4600);
 
-/// The same for requests without a stream.
+/// Time that a request without a stream may need. A stopping entry with less time left rejects it, since the
+/// end of the process would truncate the response.
 const MIN_REQUEST_DURATION: Duration = Duration::from_millis(1200);
 
 /// Reads the request, finds its route and charges its workspace.
--- a/crates/stair-relay/src/context.rs
+++ b/crates/stair-relay/src/context.rs
@@ -134,7 +134,7 @@
     pub name: Box<str>,
     /// Whether the link is up.
     pub linked: bool,
-    /// Until then the agent is not used as an owner or for a ledger, since it did not reply in time.
+    /// Time until which the agent is not used as an owner or for a ledger, since it did not reply in time.
     pub skipped_until: Duration,
     /// Messages to the agent.
     pub tx: mpsc::Sender<ToAgent>,
--- a/crates/stair-relay/src/crash.rs
+++ b/crates/stair-relay/src/crash.rs
@@ -52,8 +52,8 @@
 /// of the store.
 const WATCH_WINDOW: Duration = Duration::from_secs(6);
 
-/// The same after a client has disconnected: its request hardly ends a target that has kept running that
-/// long.
+/// Time after a client has disconnected in which the target of its request may be found to have ended. The
+/// request hardly ends a target that has kept running for this time.
 const CLIENT_LEFT_WINDOW: Duration = Duration::from_millis(1500);
 
 /// Limit of the interrupted runs recorded for one target, which does not run more at once.
@@ -86,7 +86,7 @@
     runs: Vec<Run>,
     /// Whether the target is known to have ended.
     ended: bool,
-    /// Whether its address has been probed.
+    /// Whether the target's address has been probed.
     probed: bool,
     /// The end of the watch.
     until: Instant,
--- a/crates/stair-relay/src/quarantine.rs
+++ b/crates/stair-relay/src/quarantine.rs
@@ -55,7 +55,7 @@
 /// Number of agents that keep a ledger: two may be lost at once.
 const LEDGERS: usize = 3;
 
-/// The key by which rendezvous hashing orders these agents.
+/// The key by which rendezvous hashing orders agents; the first ones keep a ledger.
 const LEDGER_KEY: &str = "quarantine";
 
 /// Limit for an agent's reply: a round trip and the longest pause of a busy VM.
@@ -68,7 +68,7 @@
 #[derive(Default)]
 pub(crate) struct Quarantine {
     pub(crate) watchlist: Watchlist,
-    /// Used while no agent is linked.
+    /// This entry's own ledger, used while no agent is linked.
     own: Ledger,
     /// Requests for a trial that wait for a reply.
     pending: Vec<PendingRequest>,
@@ -92,7 +92,7 @@
 pub(crate) enum Gate {
     /// The request may be sent. For a suspect, the trial counts until it is dropped.
     Open(Option<Trial>),
-    /// Another run of it has to end before.
+    /// The request is a suspect, and another trial has to end before its own can begin.
     Busy,
     /// The request is quarantined for this time.
     Closed(Duration),
--- a/crates/stair-relay/src/replicate.rs
+++ b/crates/stair-relay/src/replicate.rs
@@ -64,7 +64,8 @@
 /// Pause after a watch of the targets that returned changes, which come many times a second.
 const BATCH_PAUSE: Duration = Duration::from_millis(600);
 
-/// The same for a recently started process: after a power failure all targets announce new incarnations.
+/// Pause after a watch of the targets that returned changes, in a recently started process. It is shorter,
+/// since after a power failure all targets announce new incarnations.
 const RECENT_START_BATCH_PAUSE: Duration = Duration::from_millis(150);
 
 /// Age up to which a process counts as recently started: three heartbeats of a target and its start.
--- a/crates/stair-relay/src/stream.rs
+++ b/crates/stair-relay/src/stream.rs
@@ -56,17 +56,17 @@
 /// Events buffered for a client that reads slowly.
 const QUEUE: usize = 16;
 
-/// Another target is searched for after the longest pause that the client accepts by its route, divided by
-/// this. An engine that is only busy, or that repeats a prefill after it ran out of memory, sends an event
-/// before that. The rest of the pause is enough to resume at another target.
+/// Divisor of the longest pause that the client accepts by its route. After the resulting time another target
+/// is searched for: an engine that is only busy, or that repeats a prefill after it ran out of memory, sends
+/// an event before, and the rest of the pause is enough to resume at another target.
 const HUNG_DIVISOR: u32 = 2;
 
 /// Lower bound of the time for the first event of a repeatable request, before [`FIRST_EVENT_FACTOR`]
 /// applies.
 const MIN_FIRST_EVENT_TIMEOUT: Duration = Duration::from_millis(1500);
 
-/// Multiple of that bound, or of the objective where it is longer, after which the request is tried at
-/// another target.
+/// Multiple of [`MIN_FIRST_EVENT_TIMEOUT`], or of the objective where the objective is longer, after which a
+/// repeatable request is tried at another target.
 const FIRST_EVENT_FACTOR: u32 = 2;
 
 enum Next {
--- a/crates/stair-sidecar/src/process/publish.rs
+++ b/crates/stair-sidecar/src/process/publish.rs
@@ -29,8 +29,9 @@
 /// Least pause between reports when only the amount of work has changed.
 const LOAD_INTERVAL: Duration = Duration::from_millis(200);
 
-/// The same pause for each link. With thirty entries a change is reported every 600 ms, so that reports
-/// do not take more of the VM's processor time than orders.
+/// Least pause between reports when only the amount of work has changed, divided by the number of links.
+/// With thirty entries a change is reported every 600 ms, so that reports do not take more of the VM's
+/// processor time than orders.
 const LOAD_INTERVAL_PER_LINK: Duration = Duration::from_millis(20);
 
 impl Agent {
