--- a/crates/stair-agent/src/reconcile.rs
+++ b/crates/stair-agent/src/reconcile.rs
@@ -76,7 +76,7 @@
 impl Core {
     /// Returns whether the ledger is known to match the engine's inventory.
     pub(crate) fn knows_inventory(&self) -> bool {
-        !self.relist && !self.listing && !self.ledger.in_doubt()
+        !self.relist && !self.listing && !self.ledger.has_unconfirmed()
     }
 
     /// Returns whether the engine may receive orders now. A draining agent still unloads the models
@@ -93,7 +93,7 @@
         if self.unconfirmed.expire(now) {
             self.relist = true;
         }
-        let unsettled = self.relist || self.ledger.in_doubt();
+        let unsettled = self.relist || self.ledger.has_unconfirmed();
         if !unsettled || self.listing || self.orders > 0 {
             return;
         }
@@ -117,7 +117,7 @@
         self.listing = false;
         match inventory {
             Some(inventory) => {
-                self.ledger.settle(inventory.entries());
+                self.ledger.reconcile(inventory.entries());
                 self.relist = false;
                 self.unresponsive_since = None;
             }
--- a/crates/stair-agent/src/start.rs
+++ b/crates/stair-agent/src/start.rs
@@ -454,7 +454,7 @@
         TargetSettings::Service { .. } => 0,
     };
     let mut ledger = Ledger::new(declared_mib.min(inventory.memory_mib), Vec::new());
-    ledger.settle(inventory.entries());
+    ledger.reconcile(inventory.entries());
     ledger
 }
 
--- a/crates/stair-state/src/ledger.rs
+++ b/crates/stair-state/src/ledger.rs
@@ -33,7 +33,8 @@
     /// An unload was ordered and its answer is awaited. The memory is not free yet.
     Unloading,
     /// An order's answer was lost: the engine may hold it, or load it still.
-    InDoubt,
+    #[serde(rename = "in-doubt")]
+    Unconfirmed,
 }
 
 /// One item and the memory it takes.
@@ -133,8 +134,8 @@
     }
 
     /// Tells whether an order's answer was lost and the engine's list has not settled it.
-    pub fn in_doubt(&self) -> bool {
-        self.entries.iter().any(|e| e.state == State::InDoubt)
+    pub fn has_unconfirmed(&self) -> bool {
+        self.entries.iter().any(|e| e.state == State::Unconfirmed)
     }
 
     /// Sets memory aside for a load that is about to be ordered.
@@ -185,7 +186,7 @@
         match answer {
             Answer::Done => self.entries[i].state = State::Loaded,
             Answer::Refused => drop(self.entries.remove(i)),
-            Answer::Lost => self.entries[i].state = State::InDoubt,
+            Answer::Lost => self.entries[i].state = State::Unconfirmed,
         }
     }
 
@@ -216,7 +217,7 @@
         match answer {
             Answer::Done => drop(self.entries.remove(i)),
             Answer::Refused => self.entries[i].state = State::Loaded,
-            Answer::Lost => self.entries[i].state = State::InDoubt,
+            Answer::Lost => self.entries[i].state = State::Unconfirmed,
         }
     }
 
@@ -227,12 +228,12 @@
     /// asks again. An order that was lost on its way may arrive at the engine even after this list
     /// was made; that is why an engine's connection on which an order was lost is closed before
     /// the list is asked for, and why orders carry the fencing token.
-    pub fn settle(&mut self, listed: Vec<Entry>) {
+    pub fn reconcile(&mut self, listed: Vec<Entry>) {
         self.entries = listed;
         self.entries.sort_by(|a, b| a.item.cmp(&b.item));
         for entry in &mut self.entries {
             if entry.state != State::Loaded {
-                entry.state = State::InDoubt;
+                entry.state = State::Unconfirmed;
             }
         }
     }
--- a/crates/stair-state/tests/ledger.rs
+++ b/crates/stair-state/tests/ledger.rs
@@ -58,10 +58,10 @@
     ledger.begin_load(base("a"), "1", 80).expect("has room");
     ledger.end_load(&base("a"), Answer::Lost);
 
-    assert!(ledger.in_doubt());
+    assert!(ledger.has_unconfirmed());
     let refused = ledger.begin_load(base("b"), "1", 30);
     assert_eq!(refused, Err(OrderError::NoRoom { missing_mib: 10 }));
-    ledger.settle(Vec::new());
+    ledger.reconcile(Vec::new());
     assert_eq!(ledger.begin_load(base("b"), "1", 30), Ok(()));
 }
 
@@ -83,7 +83,7 @@
 enum Step {
     Load(u8, u32, Answer),
     Unload(u8, Answer),
-    Settle,
+    Reconcile,
 }
 
 fn answers() -> impl Strategy<Value = Answer> {
@@ -98,7 +98,7 @@
     prop_oneof![
         3 => (0..6u8, 1..60u32, answers()).prop_map(|(i, m, a)| Step::Load(i, m, a)),
         3 => (0..6u8, answers()).prop_map(|(i, a)| Step::Unload(i, a)),
-        1 => Just(Step::Settle),
+        1 => Just(Step::Reconcile),
     ]
 }
 
@@ -159,7 +159,7 @@
                         ledger.end_unload(&item, answer);
                     }
                 }
-                Step::Settle => ledger.settle(engine.held.clone()),
+                Step::Reconcile => ledger.reconcile(engine.held.clone()),
             }
             prop_assert!(engine.taken() <= 100, "the engine holds {}", engine.taken());
             prop_assert!(ledger.taken_mib() >= engine.taken());
