--- a/crates/stair-agent/src/loads.rs
+++ b/crates/stair-agent/src/loads.rs
@@ -219,7 +219,7 @@
         let version: Box<str> = version.into();
         match self.ledger.begin_load(item.clone(), &version, memory_mib) {
             Ok(()) => self.spawn_load(item, version, memory_mib, rank, deadline),
-            Err(OrderError::NoRoom { missing_mib }) => {
+            Err(OrderError::NoCapacity { missing_mib }) => {
                 self.evict_for(item, rank, missing_mib);
                 return false;
             }
--- a/crates/stair-state/src/by_id.rs
+++ b/crates/stair-state/src/by_id.rs
@@ -8,7 +8,7 @@
 
 /// Parts by the id's last bits. An agent of a busy service remembers hundreds of thousands of ids;
 /// in one sorted vector each insertion would move half of them.
-const PARTS: usize = 1024;
+const BUCKETS: usize = 1024;
 
 /// Values by request id, in sorted vectors by the id's last bits.
 ///
@@ -16,7 +16,8 @@
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct ById<T> {
     /// Each sorted by id.
-    parts: Vec<Vec<Entry<T>>>,
+    #[serde(rename = "parts")]
+    buckets: Vec<Vec<Entry<T>>>,
     len: usize,
 }
 
@@ -29,7 +30,7 @@
 impl<T> Default for ById<T> {
     fn default() -> Self {
         Self {
-            parts: (0..PARTS).map(|_| Vec::new()).collect(),
+            buckets: (0..BUCKETS).map(|_| Vec::new()).collect(),
             len: 0,
         }
     }
@@ -38,25 +39,25 @@
 impl<T> ById<T> {
     /// Returns the value of an id.
     pub fn get(&self, id: RequestId) -> Option<&T> {
-        let part = &self.parts[part_of(id)];
-        let at = find(part, id).ok()?;
-        Some(&part[at].value)
+        let bucket = &self.buckets[bucket_of(id)];
+        let at = find(bucket, id).ok()?;
+        Some(&bucket[at].value)
     }
 
     /// Returns the value of an id.
     pub fn get_mut(&mut self, id: RequestId) -> Option<&mut T> {
-        let part = &mut self.parts[part_of(id)];
-        let at = find(part, id).ok()?;
-        Some(&mut part[at].value)
+        let bucket = &mut self.buckets[bucket_of(id)];
+        let at = find(bucket, id).ok()?;
+        Some(&mut bucket[at].value)
     }
 
     /// Sets the value of an id.
     pub fn insert(&mut self, id: RequestId, value: T) {
-        let part = &mut self.parts[part_of(id)];
-        match find(part, id) {
-            Ok(i) => part[i].value = value,
+        let bucket = &mut self.buckets[bucket_of(id)];
+        match find(bucket, id) {
+            Ok(i) => bucket[i].value = value,
             Err(i) => {
-                part.insert(i, Entry { id, value });
+                bucket.insert(i, Entry { id, value });
                 self.len += 1;
             }
         }
@@ -64,10 +65,10 @@
 
     /// Takes out the value of an id.
     pub fn remove(&mut self, id: RequestId) -> Option<T> {
-        let part = &mut self.parts[part_of(id)];
-        let at = find(part, id).ok()?;
+        let bucket = &mut self.buckets[bucket_of(id)];
+        let at = find(bucket, id).ok()?;
         self.len -= 1;
-        Some(part.remove(at).value)
+        Some(bucket.remove(at).value)
     }
 
     /// Keeps the values that fulfil a condition.
@@ -75,10 +76,10 @@
     where
         F: FnMut(&T) -> bool,
     {
-        for part in &mut self.parts {
-            let before = part.len();
-            part.retain(|entry| keep(&entry.value));
-            self.len -= before - part.len();
+        for bucket in &mut self.buckets {
+            let before = bucket.len();
+            bucket.retain(|entry| keep(&entry.value));
+            self.len -= before - bucket.len();
         }
     }
 
@@ -93,10 +94,10 @@
     }
 }
 
-fn part_of(id: RequestId) -> usize {
-    (id.0 % PARTS as u128) as usize
+fn bucket_of(id: RequestId) -> usize {
+    (id.0 % BUCKETS as u128) as usize
 }
 
-fn find<T>(part: &[Entry<T>], id: RequestId) -> Result<usize, usize> {
-    part.binary_search_by_key(&id, |entry| entry.id)
+fn find<T>(bucket: &[Entry<T>], id: RequestId) -> Result<usize, usize> {
+    bucket.binary_search_by_key(&id, |entry| entry.id)
 }
--- a/crates/stair-state/src/grants.rs
+++ b/crates/stair-state/src/grants.rs
@@ -58,10 +58,10 @@
 pub enum GrantError {
     /// As many grants of the model exist, revoking ones included, as replicas were decided.
     #[error("all {0} replicas are granted")]
-    NoneLeft(u16),
+    ReplicasExhausted(u16),
     /// The target holds a grant of the model, perhaps one that is being revoked.
     #[error("the target holds a grant of the model")]
-    Held,
+    AlreadyGranted,
 }
 
 impl GrantShard {
@@ -80,10 +80,10 @@
     ) -> Result<GrantId, GrantError> {
         let of_model = self.of_model(model);
         if of_model.iter().any(|g| g.target == *target) {
-            return Err(GrantError::Held);
+            return Err(GrantError::AlreadyGranted);
         }
         if of_model.len() >= usize::from(replicas) {
-            return Err(GrantError::NoneLeft(replicas));
+            return Err(GrantError::ReplicasExhausted(replicas));
         }
         let id = self.next_id;
         self.next_id = GrantId(id.0 + 1);
--- a/crates/stair-state/src/ledger.rs
+++ b/crates/stair-state/src/ledger.rs
@@ -55,7 +55,7 @@
 pub enum OrderError {
     /// So many MiB are missing.
     #[error("{missing_mib} MiB are missing")]
-    NoRoom {
+    NoCapacity {
         /// What has to be unloaded first.
         missing_mib: u32,
     },
@@ -166,7 +166,7 @@
         }
         if memory_mib > self.free_mib() {
             let missing_mib = memory_mib - self.free_mib();
-            return Err(OrderError::NoRoom { missing_mib });
+            return Err(OrderError::NoCapacity { missing_mib });
         }
         let entry = Entry {
             item,
--- a/crates/stair-state/src/runs.rs
+++ b/crates/stair-state/src/runs.rs
@@ -45,7 +45,7 @@
 }
 
 /// Sweeping every call would cost O(n) a request.
-const SWEEP_EVERY: Duration = Duration::from_secs(10);
+const SWEEP_INTERVAL: Duration = Duration::from_secs(10);
 
 impl RunTable {
     /// Notes an offer. Returns false, and changes nothing, when the id was offered before: the
@@ -111,7 +111,7 @@
         if now < self.next_sweep {
             return;
         }
-        self.next_sweep = now + SWEEP_EVERY;
+        self.next_sweep = now + SWEEP_INTERVAL;
         self.runs.retain(|r| r.forget_at.is_none_or(|at| at > now));
     }
 }
--- a/crates/stair-state/tests/grant_moves.rs
+++ b/crates/stair-state/tests/grant_moves.rs
@@ -42,7 +42,7 @@
     );
     assert_eq!(
         shard.grant(&model(0), &target(1), 1),
-        Err(GrantError::NoneLeft(1))
+        Err(GrantError::ReplicasExhausted(1))
     );
 }
 
@@ -56,12 +56,12 @@
 
     let refused = shard.grant(&model(0), &target(1), 1);
 
-    assert_eq!(refused, Err(GrantError::NoneLeft(1)));
+    assert_eq!(refused, Err(GrantError::ReplicasExhausted(1)));
 }
 
 // A confirmation that comes although nothing was revoked is a fault of the agent; the grant stays.
 #[test]
-fn unasked_confirmation() {
+fn unsolicited_confirmation() {
     let mut shard = GrantShard::default();
     let id = shard.grant(&model(0), &target(0), 1).expect("is free");
 
@@ -77,7 +77,7 @@
     Grant(u8, u8),
     Revoke(u8),
     /// The target learns of its grants.
-    Learn(u8),
+    Update(u8),
     /// The target loads a model if it believes that it holds a grant.
     Load(u8, u8),
     /// The target gives back what it knows as revoked.
@@ -109,7 +109,7 @@
         prop_oneof![
             (m.clone(), t.clone()).prop_map(|(m, t)| Step::Grant(m, t)),
             (0..20u8).prop_map(Step::Revoke),
-            t.clone().prop_map(Step::Learn),
+            t.clone().prop_map(Step::Update),
             (m, t.clone()).prop_map(|(m, t)| Step::Load(m, t)),
             t.clone().prop_map(Step::Release),
             (0..20usize).prop_map(Step::Replay),
@@ -128,7 +128,7 @@
     known: Vec<stair_state::Grant>,
     loaded: Vec<u8>,
     /// Ids under which nothing is loaded any more.
-    given_back: Vec<GrantId>,
+    released: Vec<GrantId>,
 }
 
 struct Deployment {
@@ -147,7 +147,7 @@
         let may = agent
             .known
             .iter()
-            .any(|g| g.model == model(m) && !g.revoking && !agent.given_back.contains(&g.id));
+            .any(|g| g.model == model(m) && !g.revoking && !agent.released.contains(&g.id));
         if may && !agent.loaded.contains(&m) {
             agent.loaded.push(m);
         }
@@ -157,7 +157,7 @@
         let agent = &mut self.agents[usize::from(t)];
         for grant in agent.known.iter().filter(|g| g.revoking) {
             agent.loaded.retain(|m| model(*m) != grant.model);
-            agent.given_back.push(grant.id);
+            agent.released.push(grant.id);
             self.confirmations.push(grant.id);
             self.shard.confirm(grant.id);
         }
@@ -182,7 +182,7 @@
         match step {
             Step::Grant(m, t) => drop(d.shard.grant(&model(m), &target(t), REPLICAS)),
             Step::Revoke(id) => drop(d.shard.revoke(GrantId(id.into()))),
-            Step::Learn(t) => {
+            Step::Update(t) => {
                 d.agents[usize::from(t)].known = d.shard.of_target(&target(t)).cloned().collect();
             }
             Step::Load(m, t) => d.load(m, t),
--- a/crates/stair-state/tests/ledger.rs
+++ b/crates/stair-state/tests/ledger.rs
@@ -45,7 +45,7 @@
 
     let refused = ledger.begin_load(base("b"), "1", 30);
 
-    assert_eq!(refused, Err(OrderError::NoRoom { missing_mib: 10 }));
+    assert_eq!(refused, Err(OrderError::NoCapacity { missing_mib: 10 }));
     ledger.end_unload(&base("a"), Answer::Done);
     assert_eq!(ledger.begin_load(base("b"), "1", 30), Ok(()));
 }
@@ -60,7 +60,7 @@
 
     assert!(ledger.has_unconfirmed());
     let refused = ledger.begin_load(base("b"), "1", 30);
-    assert_eq!(refused, Err(OrderError::NoRoom { missing_mib: 10 }));
+    assert_eq!(refused, Err(OrderError::NoCapacity { missing_mib: 10 }));
     ledger.reconcile(Vec::new());
     assert_eq!(ledger.begin_load(base("b"), "1", 30), Ok(()));
 }
@@ -105,12 +105,12 @@
 /// The engine's real memory; a lost answer means that the order took effect or not.
 #[derive(Default)]
 struct Engine {
-    held: Vec<Entry>,
+    loaded: Vec<Entry>,
 }
 
 impl Engine {
     fn load(&mut self, item: Item, memory_mib: u32) {
-        self.held.push(Entry {
+        self.loaded.push(Entry {
             item,
             version: "1".into(),
             memory_mib,
@@ -119,7 +119,7 @@
     }
 
     fn taken(&self) -> u32 {
-        self.held.iter().map(|e| e.memory_mib).sum()
+        self.loaded.iter().map(|e| e.memory_mib).sum()
     }
 }
 
@@ -154,12 +154,12 @@
                     if ledger.begin_unload(&item).is_ok() {
                         let done = answer == Answer::Done;
                         if done || (answer == Answer::Lost && took_effect) {
-                            engine.held.retain(|e| e.item != item);
+                            engine.loaded.retain(|e| e.item != item);
                         }
                         ledger.end_unload(&item, answer);
                     }
                 }
-                Step::Reconcile => ledger.reconcile(engine.held.clone()),
+                Step::Reconcile => ledger.reconcile(engine.loaded.clone()),
             }
             prop_assert!(engine.taken() <= 100, "the engine holds {}", engine.taken());
             prop_assert!(ledger.taken_mib() >= engine.taken());
