--- a/crates/stair-types/src/fingerprint.rs
+++ b/crates/stair-types/src/fingerprint.rs
@@ -16,7 +16,7 @@
 use xxhash_rust::xxh3::Xxh3;
 
 /// Bytes of the digest that are kept.
-const LEN: usize = 16;
+const DIGEST_BYTES: usize = 16;
 
 /// What repeats of a request have in common.
 #[derive(Debug, Clone, Copy)]
@@ -43,14 +43,14 @@
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Fingerprint {
     outline: Outline,
-    digest: [u8; LEN],
+    digest: [u8; DIGEST_BYTES],
 }
 
 impl Contents<'_> {
     /// Takes the outline.
     pub fn outline(&self) -> Outline {
         let mut hash = Xxh3::new();
-        self.feed(&mut |bytes| hash.update(bytes));
+        self.for_each_field(&mut |bytes| hash.update(bytes));
         hash.update(&self.body.len().to_le_bytes());
         Outline(hash.digest())
     }
@@ -58,11 +58,11 @@
     /// Takes the fingerprint, in a time that grows with the body.
     pub fn fingerprint(&self) -> Fingerprint {
         let mut hash = Sha256::new();
-        self.feed(&mut |bytes| hash.update(bytes));
+        self.for_each_field(&mut |bytes| hash.update(bytes));
         hash.update(self.body);
         let whole: [u8; 32] = hash.finalize().into();
-        let mut digest = [0; LEN];
-        digest.copy_from_slice(&whole[..LEN]);
+        let mut digest = [0; DIGEST_BYTES];
+        digest.copy_from_slice(&whole[..DIGEST_BYTES]);
         Fingerprint {
             outline: self.outline(),
             digest,
@@ -70,16 +70,16 @@
     }
 
     /// Passes on all parts but the body, each with its length: no two requests have the same bytes.
-    fn feed(&self, sink: &mut dyn FnMut(&[u8])) {
-        let mut part = |bytes: &[u8]| {
+    fn for_each_field(&self, sink: &mut dyn FnMut(&[u8])) {
+        let mut field = |bytes: &[u8]| {
             sink(&bytes.len().to_le_bytes());
             sink(bytes);
         };
-        part(&[u8::from(self.workspace.is_some())]);
-        part(self.workspace.unwrap_or_default().as_bytes());
-        part(self.method.as_bytes());
-        part(self.host);
-        part(self.path.as_bytes());
+        field(&[u8::from(self.workspace.is_some())]);
+        field(self.workspace.unwrap_or_default().as_bytes());
+        field(self.method.as_bytes());
+        field(self.host);
+        field(self.path.as_bytes());
     }
 }
 
--- a/crates/stair-types/src/key.rs
+++ b/crates/stair-types/src/key.rs
@@ -18,14 +18,14 @@
 use subtle::ConstantTimeEq as _;
 
 /// Bytes of a digest.
-const LEN: usize = 32;
+const DIGEST_BYTES: usize = 32;
 
 /// The SHA-256 of a key.
 ///
 /// Unkeyed, since entries pass declarations on to each other and each has to find the same digest.
 #[derive(Clone, Copy, Serialize, Deserialize)]
 #[serde(transparent)]
-pub struct KeyDigest([u8; LEN]);
+pub struct KeyDigest([u8; DIGEST_BYTES]);
 
 impl KeyDigest {
     /// Takes the digest of a key.
--- a/crates/stair-types/tests/fingerprint.rs
+++ b/crates/stair-types/tests/fingerprint.rs
@@ -12,7 +12,7 @@
 
 /// Two requests that differ in any part.
 #[test]
-fn every_part_counts() {
+fn every_field_counts() {
     let others = [
         Contents {
             workspace: Some("w2"),
@@ -47,7 +47,7 @@
 
 /// A body of the same length has the same outline: only the fingerprint tells them apart.
 #[test]
-fn outline_is_cheap() {
+fn outline_ignores_body_bytes() {
     let other = Contents {
         body: b"tpromp",
         ..REQUEST
@@ -58,7 +58,7 @@
 
 /// Bytes that move from one part to the next make another request.
 #[test]
-fn parts_do_not_run_together() {
+fn field_boundaries_count() {
     let one = Contents {
         host: b"ab",
         path: "c",
@@ -75,7 +75,7 @@
 
 /// Neither the body nor the caller can be read in logs.
 #[test]
-fn nothing_is_shown() {
+fn contents_not_logged() {
     let shown = format!("{} {0:?}", REQUEST.fingerprint());
     assert!(!shown.contains("w1") && !shown.contains("prompt"));
 }
