--- a/crates/dandelionstair/src/plan.rs
+++ b/crates/dandelionstair/src/plan.rs
@@ -8,7 +8,7 @@
     diff::Diff, //
 };
 use stair_platform::{
-    apply::NOTHING,
+    apply::INITIAL_VERSION,
     load, //
 };
 
@@ -28,7 +28,7 @@
     let in_force = operator::runtime()?.block_on(load::load(&store))?;
     let (version, present) = match in_force {
         Some(found) => (found.version, found.catalogue),
-        None => (NOTHING, Catalogue::default()),
+        None => (INITIAL_VERSION, Catalogue::default()),
     };
     println!("{}", Diff::between(&present, &declared));
     println!("Version {version} is in force; apply with --from {version}.");
--- a/crates/stair-platform/src/apply.rs
+++ b/crates/stair-platform/src/apply.rs
@@ -39,19 +39,19 @@
 };
 
 /// The version before the first apply.
-pub const NOTHING: ConfigVersion = ConfigVersion(0);
+pub const INITIAL_VERSION: ConfigVersion = ConfigVersion(0);
 
 /// Applies that the manifest remembers. At 13,000 a day one comes every 7 s, so a lost answer can
 /// be settled for more than two minutes, longer than anyone waits for it; and every entry reads them
 /// at each change.
-const REMEMBERED: usize = 24;
+const MAX_EARLIER_APPLIES: usize = 24;
 
 /// Pause between two tries, so that an outage is not met with a storm of calls.
-const PAUSE: Duration = Duration::from_millis(250);
+const RETRY_INTERVAL: Duration = Duration::from_millis(250);
 
 /// Least time to find out what became of a commit whose answer was lost. Most of the operator's
 /// patience may have gone into an outage before, and what is settled here spares him the doubt.
-const SETTLE_TIME: Duration = Duration::from_secs(10);
+const RECONCILE_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// How to apply.
 #[derive(Debug, Clone)]
@@ -114,36 +114,36 @@
         return Ok(Outcome::Conflict { from, found });
     }
     let chunks = chunks::split(catalogue)?;
-    let refs: Vec<ChunkRef> = chunks.iter().map(reference).collect();
+    let refs: Vec<ChunkRef> = chunks.iter().map(chunk_ref).collect();
     let present = head.as_ref().map_or(&[][..], |h| &h.manifest.chunks);
     if head.is_some() && *present == *refs {
         return Ok(Outcome::Unchanged(found));
     }
     for chunk in &chunks {
-        if !present.contains(&reference(chunk)) {
+        if !present.contains(&chunk_ref(chunk)) {
             write_chunk(store, chunk, deadline).await?;
         }
     }
-    let manifest = next(head.as_ref(), opts.apply_id.clone(), refs);
+    let manifest = next_manifest(head.as_ref(), opts.apply_id.clone(), refs);
     commit(store, head.as_ref(), &manifest, deadline).await
 }
 
 fn version_of(head: Option<&Head>) -> ConfigVersion {
-    head.map_or(NOTHING, |h| h.manifest.version)
+    head.map_or(INITIAL_VERSION, |h| h.manifest.version)
 }
 
-fn reference(chunk: &Chunk) -> ChunkRef {
+fn chunk_ref(chunk: &Chunk) -> ChunkRef {
     ChunkRef {
         hash: chunk.hash.clone(),
     }
 }
 
-fn next(head: Option<&Head>, apply_id: ApplyId, chunks: Vec<ChunkRef>) -> Manifest {
+fn next_manifest(head: Option<&Head>, apply_id: ApplyId, chunks: Vec<ChunkRef>) -> Manifest {
     let mut earlier = Vec::new();
     if let Some(Head { manifest, .. }) = head {
         earlier.push(manifest.apply_id.clone());
         earlier.extend(manifest.earlier.iter().cloned());
-        earlier.truncate(REMEMBERED);
+        earlier.truncate(MAX_EARLIER_APPLIES);
     }
     Manifest {
         version: ConfigVersion(version_of(head).0 + 1),
@@ -153,7 +153,7 @@
     }
 }
 
-fn may_pass(e: &types::Error) -> bool {
+fn is_transient(e: &types::Error) -> bool {
     matches!(e, types::Error::Unavailable(_) | types::Error::Unknown(_))
 }
 
@@ -163,8 +163,8 @@
 {
     loop {
         match load::head(store).await {
-            Err(load::Error::Platform(e)) if may_pass(&e) && Instant::now() < deadline => {
-                sleep(PAUSE).await;
+            Err(load::Error::Platform(e)) if is_transient(&e) && Instant::now() < deadline => {
+                sleep(RETRY_INTERVAL).await;
             }
             result => return result,
         }
@@ -181,7 +181,7 @@
             // A chunk of this name has this content, whoever wrote it: another apply, or a try of
             // ours whose answer was lost.
             Ok(_) | Err(types::Error::Conflict) => return Ok(()),
-            Err(e) if may_pass(&e) && Instant::now() < deadline => sleep(PAUSE).await,
+            Err(e) if is_transient(&e) && Instant::now() < deadline => sleep(RETRY_INTERVAL).await,
             Err(e) => return Err(e),
         }
     }
@@ -205,10 +205,12 @@
             Ok(_) => return Ok(Outcome::Applied(manifest.version)),
             // An answer that does not decode tells no more than a lost one.
             Err(types::Error::Conflict | types::Error::Unknown(_) | types::Error::Invalid(_)) => {
-                return Ok(settle(store, head, manifest, deadline).await);
+                return Ok(reconcile_commit(store, head, manifest, deadline).await);
             }
             // Nothing was written for certain, so writing again cannot apply twice.
-            Err(types::Error::Unavailable(_)) if Instant::now() < deadline => sleep(PAUSE).await,
+            Err(types::Error::Unavailable(_)) if Instant::now() < deadline => {
+                sleep(RETRY_INTERVAL).await
+            }
             Err(e) => return Err(e.into()),
         }
     }
@@ -217,7 +219,7 @@
 // The platform's answer to the commit can be lost after the commit has taken effect. The operator
 // would notice that his apply "failed" and yet is in force, and a second try would meet its own
 // first one as a conflict. So the manifest is read until it tells what became of the commit.
-async fn settle<S>(
+async fn reconcile_commit<S>(
     store: &S,
     head: Option<&Head>,
     manifest: &Manifest,
@@ -227,14 +229,14 @@
     S: ObjectStore,
 {
     let undetermined = Outcome::Undetermined(manifest.version);
-    let deadline = deadline.max(Instant::now() + SETTLE_TIME);
+    let deadline = deadline.max(Instant::now() + RECONCILE_TIMEOUT);
     loop {
         let Ok(now) = read_head(store, deadline).await else {
             return undetermined;
         };
         if now
             .as_ref()
-            .is_some_and(|now| knows(&now.manifest, manifest))
+            .is_some_and(|now| records_apply(&now.manifest, manifest))
         {
             return Outcome::Applied(manifest.version);
         }
@@ -244,7 +246,7 @@
             // The condition of our commit can never hold again. Only when so many applies came
             // after it that it would be forgotten its absence proves nothing.
             let later = found.0.saturating_sub(manifest.version.0);
-            if usize::try_from(later).is_ok_and(|later| later <= REMEMBERED) {
+            if usize::try_from(later).is_ok_and(|later| later <= MAX_EARLIER_APPLIES) {
                 return Outcome::Conflict { from, found };
             }
             return undetermined;
@@ -253,10 +255,10 @@
         if Instant::now() >= deadline {
             return undetermined;
         }
-        sleep(PAUSE).await;
+        sleep(RETRY_INTERVAL).await;
     }
 }
 
-fn knows(now: &Manifest, ours: &Manifest) -> bool {
+fn records_apply(now: &Manifest, ours: &Manifest) -> bool {
     now.apply_id == ours.apply_id || now.earlier.contains(&ours.apply_id)
 }
--- a/crates/stair-platform/src/http.rs
+++ b/crates/stair-platform/src/http.rs
@@ -125,7 +125,7 @@
 struct Call {
     req: Request<Full<Bytes>>,
     effect: Effect,
-    time: Duration,
+    timeout: Duration,
 }
 
 impl HttpStore {
@@ -163,7 +163,7 @@
         T: DeserializeOwned,
     {
         let result = match call {
-            Ok(call) => self.in_turn(counter, call).await,
+            Ok(call) => self.in_slot(counter, call).await,
             Err(e) => Err(e),
         };
         if let Err(Error::Unavailable(_) | Error::Unknown(_) | Error::Invalid(_)) = result {
@@ -172,34 +172,34 @@
         result
     }
 
-    async fn in_turn<T>(&self, counter: &AtomicU64, call: Call) -> Result<T, Error>
+    async fn in_slot<T>(&self, counter: &AtomicU64, call: Call) -> Result<T, Error>
     where
         T: DeserializeOwned,
     {
-        let slot = timeout(call.time, self.slots.acquire()).await;
+        let slot = timeout(call.timeout, self.slots.acquire()).await;
         let Ok(Ok(_slot)) = slot else {
             // Nothing was sent, so a write has surely had no effect.
             return Err(Error::Unavailable("too many calls wait".into()));
         };
         counter.fetch_add(1, Ordering::Relaxed);
-        self.answer(call).await
+        self.send(call).await
     }
 
-    async fn answer<T>(&self, call: Call) -> Result<T, Error>
+    async fn send<T>(&self, call: Call) -> Result<T, Error>
     where
         T: DeserializeOwned,
     {
-        let exchange = self.exchange(call.req, call.time);
-        let (status, body) = match timeout(call.time, exchange).await {
-            Ok(Ok(answer)) => answer,
+        let exchange = self.exchange(call.req, call.timeout);
+        let (status, body) = match timeout(call.timeout, exchange).await {
+            Ok(Ok(reply)) => reply,
             Ok(Err(e)) if e.verdict() == Verdict::NotRun => {
                 return Err(Error::Unavailable(e.to_string().into()));
             }
-            Ok(Err(e)) => return Err(lost(call.effect, &e.to_string())),
-            Err(_) => return Err(lost(call.effect, "no answer in time")),
+            Ok(Err(e)) => return Err(lost_reply(call.effect, &e.to_string())),
+            Err(_) => return Err(lost_reply(call.effect, "no answer in time")),
         };
         if status != StatusCode::OK {
-            return Err(refused(call.effect, status));
+            return Err(status_error(call.effect, status));
         }
         serde_json::from_slice(&body).map_err(|e| match call.effect {
             // The write was accepted, but its version is not known.
@@ -211,11 +211,11 @@
     async fn exchange(
         &self,
         req: Request<Full<Bytes>>,
-        time: Duration,
+        timeout: Duration,
     ) -> Result<(StatusCode, Bytes), client::Error> {
-        let answer = self.client.send(req, time).await?;
-        let status = answer.head.status;
-        let body = answer.collect(self.opts.max_answer_bytes, time).await?;
+        let reply = self.client.send(req, timeout).await?;
+        let status = reply.head.status;
+        let body = reply.collect(self.opts.max_answer_bytes, timeout).await?;
         Ok((status, body))
     }
 
@@ -224,7 +224,7 @@
         Ok(Call {
             req,
             effect: Effect::Read,
-            time: self.opts.call_timeout,
+            timeout: self.opts.call_timeout,
         })
     }
 
@@ -246,7 +246,7 @@
         Ok(Call {
             req,
             effect: Effect::Write,
-            time: self.opts.call_timeout,
+            timeout: self.opts.call_timeout,
         })
     }
 }
@@ -289,7 +289,7 @@
         let wait_ms = wait.as_millis();
         let path = format!("/watch?kinds={kinds}&since={since}&timeout_ms={wait_ms}");
         let call = self.read(path).map(|call| Call {
-            time: wait + call.time,
+            timeout: wait + call.timeout,
             ..call
         });
         self.call(&self.counters.watch, call).await
@@ -317,20 +317,20 @@
     Error::Invalid(e.to_string().into())
 }
 
-fn lost(effect: Effect, text: &str) -> Error {
+fn lost_reply(effect: Effect, text: &str) -> Error {
     match effect {
         Effect::Read => Error::Unavailable(text.into()),
         Effect::Write => Error::Unknown(text.into()),
     }
 }
 
-fn refused(effect: Effect, status: StatusCode) -> Error {
+fn status_error(effect: Effect, status: StatusCode) -> Error {
     match status {
         StatusCode::CONFLICT => Error::Conflict,
         StatusCode::NOT_FOUND => Error::NotFound,
         StatusCode::GONE => Error::Gone,
         StatusCode::SERVICE_UNAVAILABLE => Error::Unavailable("it answered 503".into()),
-        status if status.is_server_error() => lost(effect, status.as_str()),
+        status if status.is_server_error() => lost_reply(effect, status.as_str()),
         status => Error::Invalid(format!("it answered {status}").into()),
     }
 }
--- a/crates/stair-platform/src/load.rs
+++ b/crates/stair-platform/src/load.rs
@@ -26,7 +26,7 @@
 
 /// Chunks read at once. Enough to hide the latency of a call, and a small part of the platform's
 /// two thousand reads a second when several entries start together.
-const READS_AT_ONCE: usize = 8;
+const MAX_CONCURRENT_READS: usize = 8;
 
 /// Why the configuration cannot be read.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
@@ -141,7 +141,7 @@
     let mut chunks = Vec::with_capacity(refs.len());
     let mut reads = JoinSet::new();
     for ChunkRef { hash } in refs {
-        if reads.len() == READS_AT_ONCE {
+        if reads.len() == MAX_CONCURRENT_READS {
             collect(&mut reads, &mut chunks).await?;
         }
         reads.spawn(read_chunk(store.clone(), hash.clone()));
--- a/crates/stair-platform/tests/apply.rs
+++ b/crates/stair-platform/tests/apply.rs
@@ -127,7 +127,7 @@
 // The platform commits and its answer is lost. The operator reads that his apply is in force, and
 // not that it failed.
 #[tokio::test(start_paused = true)]
-async fn answer_lost() {
+async fn reply_lost() {
     let store = with_first().await;
     store.fail_write(Kind::Manifest, Fault::LostAfter);
     assert_eq!(apply(&store, &catalogue(2), &opts("b")).await, applied(2));
@@ -160,7 +160,7 @@
 // The answer to a commit is lost, and before the operator's command reads the manifest again
 // another operator has applied on top of it. The first one's apply was in force all the same.
 #[tokio::test(start_paused = true)]
-async fn answer_lost_then_followed() {
+async fn reply_lost_then_followed() {
     let store = with_first().await;
     store.fail_write(Kind::Manifest, Fault::LostAfter);
     store.fail_call(Kind::Manifest, Fault::LostBefore);
--- a/crates/stair-platform/tests/http_store.rs
+++ b/crates/stair-platform/tests/http_store.rs
@@ -90,7 +90,7 @@
 /// The connection breaks between a write's effect and its answer. A caller that took this for a
 /// refusal would write twice or forget what it has granted.
 #[tokio::test]
-async fn lost_answer() {
+async fn lost_reply() {
     let (platform, store) = start(LONG).await;
     platform.faults().lose_answers(1, true);
     let lost = put(&store, "0", json!(1)).await;
@@ -107,7 +107,7 @@
 /// The platform takes a write and falls silent, and the answer would come long after the caller
 /// has stopped waiting. It must not be read as the answer to the next call.
 #[tokio::test]
-async fn held_answer() {
+async fn delayed_reply() {
     let (platform, store) = start(SHORT).await;
     platform.faults().hold_answers(1, true);
     let held = put(&store, "0", json!(1)).await;
@@ -210,24 +210,24 @@
 // calls, and the platform would have all of them to work off when it is back.
 #[tokio::test]
 async fn bounded_calls() {
-    const MANY: usize = 40;
-    const AT_ONCE: usize = 4;
+    const CALLS: usize = 40;
+    const MAX_CALLS: usize = 4;
     let (platform, _) = start(LONG).await;
     let opts = Options {
         call_timeout: SHORT,
-        max_calls: AT_ONCE,
+        max_calls: MAX_CALLS,
         ..Options::default()
     };
     let store = HttpStore::new(platform.addr(), opts);
     let outage = platform.faults().set_outage(Outage::BlackHole).await;
     outage.expect("set");
     let mut puts = tokio::task::JoinSet::new();
-    for i in 0..MANY {
+    for i in 0..CALLS {
         let store = store.clone();
         puts.spawn(async move { put(&store, &i.to_string(), json!(i)).await });
     }
     platform
-        .until_calls(|c| c.of(Call::Put) == AT_ONCE as u64)
+        .until_calls(|c| c.of(Call::Put) == MAX_CALLS as u64)
         .await;
 
     let results = puts.join_all().await;
@@ -238,10 +238,10 @@
     let unknown = results
         .iter()
         .filter(|r| matches!(r, Err(Error::Unknown(_))));
-    assert!(unknown.count() as u64 >= AT_ONCE as u64);
+    assert!(unknown.count() as u64 >= MAX_CALLS as u64);
     let unsent = results
         .iter()
         .filter(|r| matches!(r, Err(Error::Unavailable(_))));
-    assert_eq!(unsent.count() as u64, MANY as u64 - sent);
-    assert!(sent <= 2 * AT_ONCE as u64, "{sent} calls were sent");
+    assert_eq!(unsent.count() as u64, CALLS as u64 - sent);
+    assert!(sent <= 2 * MAX_CALLS as u64, "{sent} calls were sent");
 }
--- a/crates/stair-platform/tests/random_answers.rs
+++ b/crates/stair-platform/tests/random_responses.rs
@@ -60,7 +60,7 @@
         .await;
 }
 
-fn answer() -> impl Strategy<Value = Vec<u8>> {
+fn http_response() -> impl Strategy<Value = Vec<u8>> {
     let body = prop_oneof![
         "\\PC{0,80}",
         Just(r#"{"version":18446744073709551616}"#.to_owned()),
@@ -75,7 +75,7 @@
 }
 
 #[test]
-fn any_answer() {
+fn any_response() {
     let config = ProptestConfig {
         cases: 100,
         failure_persistence: None,
@@ -84,7 +84,7 @@
     };
     let runtime = tokio::runtime::Runtime::new().expect("a runtime starts");
     TestRunner::new(config)
-        .run(&answer(), |bytes| {
+        .run(&http_response(), |bytes| {
             runtime.block_on(call_all(bytes));
             Ok(())
         })
