--- a/crates/stair-platform/tests/http_store.rs
+++ b/crates/stair-platform/tests/http_store.rs
@@ -56,10 +56,10 @@
     let first = put(&store, "0", json!(1)).await.expect("written");
     assert_eq!(put(&store, "0", json!(2)).await, Err(Error::Conflict));
 
-    let held = Condition::Version(first);
-    let update = store.put(Kind::Grants, "0", &json!(3), held).await;
+    let current = Condition::Version(first);
+    let update = store.put(Kind::Grants, "0", &json!(3), current).await;
     assert!(update.expect("written") > first);
-    let again = store.put(Kind::Grants, "0", &json!(4), held).await;
+    let again = store.put(Kind::Grants, "0", &json!(4), current).await;
     assert_eq!(again, Err(Error::Conflict));
 
     let object = store.get(Kind::Grants, "0").await.expect("there");
@@ -110,8 +110,8 @@
 async fn delayed_reply() {
     let (platform, store) = start(SHORT).await;
     platform.faults().hold_answers(1, true);
-    let held = put(&store, "0", json!(1)).await;
-    assert!(matches!(held, Err(Error::Unknown(_))), "{held:?}");
+    let delayed = put(&store, "0", json!(1)).await;
+    assert!(matches!(delayed, Err(Error::Unknown(_))), "{delayed:?}");
     let object = store.get(Kind::Grants, "0").await.expect("there");
     assert_eq!(object.value, json!(1));
 }
--- a/crates/stair-platform/tests/random_responses.rs
+++ b/crates/stair-platform/tests/random_replies.rs
@@ -60,7 +60,7 @@
         .await;
 }
 
-fn http_response() -> impl Strategy<Value = Vec<u8>> {
+fn http_reply() -> impl Strategy<Value = Vec<u8>> {
     let body = prop_oneof![
         "\\PC{0,80}",
         Just(r#"{"version":18446744073709551616}"#.to_owned()),
@@ -75,7 +75,7 @@
 }
 
 #[test]
-fn any_response() {
+fn any_reply() {
     let config = ProptestConfig {
         cases: 100,
         failure_persistence: None,
@@ -84,7 +84,7 @@
     };
     let runtime = tokio::runtime::Runtime::new().expect("a runtime starts");
     TestRunner::new(config)
-        .run(&http_response(), |bytes| {
+        .run(&http_reply(), |bytes| {
             runtime.block_on(call_all(bytes));
             Ok(())
         })
--- a/crates/stair-state/tests/grant_moves.rs
+++ b/crates/stair-state/tests/grant_moves.rs
@@ -138,7 +138,7 @@
 }
 
 impl Deployment {
-    fn holders(&self, m: u8) -> usize {
+    fn loaded_replicas(&self, m: u8) -> usize {
         self.agents.iter().filter(|a| a.loaded.contains(&m)).count()
     }
 
@@ -204,8 +204,8 @@
         for m in 0..MODELS {
             let granted = d.shard.of_model(&model(m)).len();
             assert!(granted <= usize::from(REPLICAS), "{granted} grants of m{m}");
-            let held = d.holders(m);
-            assert!(held <= usize::from(REPLICAS), "{held} replicas of m{m}");
+            let loaded = d.loaded_replicas(m);
+            assert!(loaded <= usize::from(REPLICAS), "{loaded} replicas of m{m}");
         }
     }
 }
