--- a/crates/stair-state/src/by_id.rs
+++ b/crates/stair-state/src/by_id.rs
@@ -1,4 +1,4 @@
-//! Values by request id.
+//! A map from request id to value that stays cheap to update with many entries.
 
 use serde::{
     Deserialize,
@@ -6,16 +6,16 @@
 };
 use stair_types::RequestId;
 
-/// Parts by the id's last bits. An agent of a busy service remembers hundreds of thousands of ids;
-/// in one sorted vector each insertion would move half of them.
+/// Number of buckets. An agent of a busy service stores hundreds of thousands of ids; in a single
+/// sorted vector, each insertion would move half of them on average.
 const BUCKETS: usize = 1024;
 
-/// Values by request id, in sorted vectors by the id's last bits.
+/// A map from request id to value, made of sorted vectors selected by the low bits of the id.
 ///
-/// Ids are random, so the parts stay about equally long.
+/// Ids are random, so the buckets stay about equally long.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct ById<T> {
-    /// Each sorted by id.
+    /// Each bucket is sorted by id.
     #[serde(rename = "parts")]
     buckets: Vec<Vec<Entry<T>>>,
     len: usize,
@@ -37,21 +37,21 @@
 }
 
 impl<T> ById<T> {
-    /// Returns the value of an id.
+    /// Returns a reference to the value of an id.
     pub fn get(&self, id: RequestId) -> Option<&T> {
         let bucket = &self.buckets[bucket_of(id)];
         let at = find(bucket, id).ok()?;
         Some(&bucket[at].value)
     }
 
-    /// Returns the value of an id.
+    /// Returns a mutable reference to the value of an id.
     pub fn get_mut(&mut self, id: RequestId) -> Option<&mut T> {
         let bucket = &mut self.buckets[bucket_of(id)];
         let at = find(bucket, id).ok()?;
         Some(&mut bucket[at].value)
     }
 
-    /// Sets the value of an id.
+    /// Inserts the value of an id, or replaces the one that is stored.
     pub fn insert(&mut self, id: RequestId, value: T) {
         let bucket = &mut self.buckets[bucket_of(id)];
         match find(bucket, id) {
@@ -63,7 +63,7 @@
         }
     }
 
-    /// Takes out the value of an id.
+    /// Removes an id and returns its value.
     pub fn remove(&mut self, id: RequestId) -> Option<T> {
         let bucket = &mut self.buckets[bucket_of(id)];
         let at = find(bucket, id).ok()?;
@@ -71,7 +71,7 @@
         Some(bucket.remove(at).value)
     }
 
-    /// Keeps the values that fulfil a condition.
+    /// Removes all values for which `keep` returns false, in O(n).
     pub fn retain<F>(&mut self, mut keep: F)
     where
         F: FnMut(&T) -> bool,
@@ -88,7 +88,7 @@
         self.len
     }
 
-    /// Tells whether there is no value.
+    /// Returns whether the map is empty.
     pub fn is_empty(&self) -> bool {
         self.len == 0
     }
--- a/crates/stair-state/src/grants.rs
+++ b/crates/stair-state/src/grants.rs
@@ -1,9 +1,9 @@
-//! Grants: durable permissions of targets to hold models.
+//! Grants: durable permissions of targets to load models.
 //!
-//! A grant is never moved in one step. It is granted, then revoking, then removed once the holder
-//! has confirmed that its engine holds the model no longer; only then another target is granted.
-//! The number of grants of a model, in either state, is the number of replicas that may be
-//! loaded.
+//! A grant moves to another target in two steps. It is marked as revoking, and it is removed once
+//! its target confirms that the engine has unloaded the model; only then may another target get a
+//! grant. The number of grants of a model, revoking ones included, bounds the number of replicas
+//! that are loaded.
 
 use serde::{
     Deserialize,
@@ -16,38 +16,39 @@
     TargetName, //
 };
 
-/// Shards of the grants; fixed for a deployment's life, since it places every model.
+/// Number of shards of the grants. It is fixed for the lifetime of a deployment, since it
+/// determines the shard of every model.
 ///
-/// Every entry gets each shard that changes. With 12,000 targets and two grants for each, 32 shards
-/// have 62 kB in the mean, and 2,400 replaced VMs a day would bring each entry more than the 7 KB a
-/// second that control may cost. With 256 a shard has 8 kB.
+/// Every entry receives each shard that changes. With 12,000 targets and two grants for each, one
+/// of 32 shards has 62 kB on average, and 2,400 replaced VMs a day would send each entry more than
+/// the 7 KB per second that control traffic may use. One of 256 shards has 8 kB.
 pub const SHARDS: u16 = 256;
 
-/// A permission of one target to hold one model.
+/// The permission of one target to load one model.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Grant {
-    /// Never used again for another grant of the shard.
+    /// Unique among all present and past grants of the shard.
     pub id: GrantId,
-    /// The model.
+    /// The base model.
     pub model: ModelName,
-    /// The holder.
+    /// The target that may load the model.
     pub target: TargetName,
-    /// The holder has been told to give it back and has not confirmed.
+    /// Whether the grant is being revoked. It still counts until the target has confirmed.
     pub revoking: bool,
 }
 
-/// The value of one shard's object in the platform.
+/// All grants of one shard, as stored in one object of the platform.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct GrantShard {
-    /// The id that the next new grant takes; only rises.
+    /// The id of the next new grant. It never decreases.
     pub next_id: GrantId,
     /// Sorted by model, then target.
     pub grants: Vec<Grant>,
 }
 
-/// Returns the shard of a model.
+/// Returns the shard that stores the grants of a model.
 pub fn shard_of(model: &ModelName) -> ShardId {
     let hash = xxhash_rust::xxh3::xxh3_64(model.as_str().as_bytes());
     ShardId((hash % u64::from(SHARDS)) as u16)
@@ -56,22 +57,23 @@
 /// Why a grant was not made.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum GrantError {
-    /// As many grants of the model exist, revoking ones included, as replicas were decided.
+    /// As many grants of the model exist, revoking ones included, as the given number of replicas.
     #[error("all {0} replicas are granted")]
     ReplicasExhausted(u16),
-    /// The target holds a grant of the model, perhaps one that is being revoked.
-    #[error("the target holds a grant of the model")]
+    /// The target has a grant of the model already, possibly a revoking one.
+    #[error("the target already has a grant of the model")]
     AlreadyGranted,
 }
 
 impl GrantShard {
-    /// Grants a model to a target, if fewer than `replicas` grants of it exist.
+    /// Grants a model to a target if fewer than `replicas` grants of the model exist, and returns
+    /// the id of the new grant.
     ///
-    /// Grants that are being revoked count: their holder may still have the model loaded.
+    /// Revoking grants count, since their targets may still have the model loaded.
     ///
     /// # Errors
     ///
-    /// See [`GrantError`]; the shard is unchanged.
+    /// See [`GrantError`]; the shard is unchanged on error.
     pub fn grant(
         &mut self,
         model: &ModelName,
@@ -102,7 +104,7 @@
         Ok(id)
     }
 
-    /// Begins to take a grant back. Returns whether that changed anything.
+    /// Marks a grant as revoking. Returns whether the shard changed.
     pub fn revoke(&mut self, id: GrantId) -> bool {
         match self.grants.iter_mut().find(|g| g.id == id && !g.revoking) {
             Some(grant) => {
@@ -113,21 +115,21 @@
         }
     }
 
-    /// Removes a revoking grant whose holder has confirmed that its engine does not hold the
-    /// model. Returns whether that changed anything.
+    /// Removes a revoking grant after its target has confirmed that the engine has unloaded the
+    /// model. Returns whether the shard changed.
     ///
-    /// A confirmation that was delayed until after the model was granted to the same target again
-    /// names the old id and changes nothing.
+    /// A confirmation that arrives after the model was granted to the same target again names the
+    /// id of the earlier grant and changes nothing.
     pub fn confirm(&mut self, id: GrantId) -> bool {
         let before = self.grants.len();
         self.grants.retain(|g| g.id != id || !g.revoking);
         self.grants.len() != before
     }
 
-    /// Removes all grants of a target whose VM the platform no longer has. Returns how many.
+    /// Removes all grants of a target whose VM was removed. Returns the number of grants removed.
     ///
-    /// Only the platform's word that the VM is gone will do: a VM that is merely silent may hold
-    /// the model still.
+    /// The platform has to state that the VM was removed: an unresponsive VM may still have the
+    /// model loaded.
     pub fn remove_target(&mut self, target: &TargetName) -> usize {
         let before = self.grants.len();
         self.grants.retain(|g| g.target != *target);
--- a/crates/stair-state/src/ledger.rs
+++ b/crates/stair-state/src/ledger.rs
@@ -1,8 +1,9 @@
-//! The accelerator memory of one engine and what is in it.
+//! Accounts for the accelerator memory of one engine.
 //!
-//! The agent is the only one that orders its engine, and asks the ledger before each order. The
-//! ledger counts the memory of everything that is loaded, loading, unloading, or in doubt because
-//! an order's answer was lost. Doubt ends only when the engine's own list settles it.
+//! The agent is the only process that sends orders to its engine, and it records each order in the
+//! ledger before sending it. The ledger counts the memory of every item that is loaded, loading,
+//! unloading, or unconfirmed because the reply to an order was lost. Only the engine's own list
+//! resolves an unconfirmed item.
 
 use serde::{
     Deserialize,
@@ -13,81 +14,81 @@
     ModelName, //
 };
 
-/// What an engine can hold: a base model, or an adapter on one.
+/// A base model or an adapter on one: the unit that an engine loads and unloads.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Item {
     /// The base model.
     pub model: ModelName,
-    /// The adapter; none is the base model itself. Sorts before its adapters.
+    /// The adapter; `None` is the base model itself, which sorts before its adapters.
     pub adapter: Option<AdapterName>,
 }
 
-/// What is known of an item in the engine's memory.
+/// The state of an item in the engine's memory, as the agent knows it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum State {
-    /// A load was ordered and its answer is awaited.
+    /// A load was ordered and its reply is pending.
     Loading,
-    /// The engine holds it.
+    /// The engine has the item loaded.
     Loaded,
-    /// An unload was ordered and its answer is awaited. The memory is not free yet.
+    /// An unload was ordered and its reply is pending. The memory still counts as used.
     Unloading,
-    /// An order's answer was lost: the engine may hold it, or load it still.
+    /// The reply to an order was lost: the item may be loaded, absent, or changing state.
     #[serde(rename = "in-doubt")]
     Unconfirmed,
 }
 
-/// One item and the memory it takes.
+/// One item and the memory that it uses.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Entry {
-    /// What it is.
+    /// The model or adapter.
     pub item: Item,
-    /// The version, as the weight store knows it.
+    /// The version in the weight store.
     pub version: Box<str>,
-    /// What it takes, in MiB.
+    /// The accelerator memory of the item, in MiB.
     pub memory_mib: u32,
-    /// What is known of it.
+    /// The state of the item.
     pub state: State,
 }
 
-/// Why an order must not be given.
+/// Why an order must not be sent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum OrderError {
-    /// So many MiB are missing.
+    /// The free memory does not suffice for the item.
     #[error("{missing_mib} MiB are missing")]
     NoCapacity {
-        /// What has to be unloaded first.
+        /// The memory to be unloaded first, in MiB.
         missing_mib: u32,
     },
-    /// The item takes more than the engine has.
-    #[error("the item takes more memory than the engine has")]
+    /// The item needs more memory than the engine has in total.
+    #[error("the item needs more memory than the engine has")]
     NeverFits,
-    /// The item is there already, in some state.
-    #[error("the engine holds the item or has an order for it")]
+    /// The ledger has an entry of the item already, in any state.
+    #[error("the item is loaded already or an order for it is not resolved")]
     Present,
     /// The item is not loaded.
-    #[error("the engine does not hold the item")]
+    #[error("the item is not loaded")]
     Absent,
     /// The base model of an adapter is not loaded.
     #[error("the adapter's base model is not loaded")]
     NoBase,
-    /// An adapter on the base model is still there.
+    /// The ledger still has an adapter on the base model, in any state.
     #[error("an adapter on the model is still loaded")]
     HasAdapters,
 }
 
-/// How an order ended.
+/// The result of an order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Answer {
-    /// The engine has done it.
+    /// The engine has carried out the order.
     Done,
-    /// The engine has surely not done it and will not.
+    /// The engine has not carried out the order and never will.
     Refused,
-    /// The answer was lost.
+    /// The reply was lost, so the result is unknown.
     Lost,
 }
 
-/// The accelerator memory of one engine.
+/// The accelerator memory of one engine and the items that use it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Ledger {
     total_mib: u32,
@@ -96,7 +97,8 @@
 }
 
 impl Ledger {
-    /// Makes the ledger of an engine that holds `entries`, as the engine itself lists them.
+    /// Creates the ledger of an engine with `total_mib` of memory from the entries that the engine
+    /// lists, in any order.
     pub fn new(total_mib: u32, mut entries: Vec<Entry>) -> Self {
         entries.sort_by(|a, b| a.item.cmp(&b.item));
         Self { total_mib, entries }
@@ -107,42 +109,42 @@
         &self.entries
     }
 
-    /// Finds an item in O(log n).
+    /// Returns the entry of an item, in O(log n).
     pub fn get(&self, item: &Item) -> Option<&Entry> {
         self.find(item).ok().map(|i| &self.entries[i])
     }
 
-    /// Tells whether the engine holds an item, ready to serve.
+    /// Returns whether an item is loaded and can serve requests.
     pub fn is_loaded(&self, item: &Item) -> bool {
         self.get(item).is_some_and(|e| e.state == State::Loaded)
     }
 
-    /// Returns the engine's memory, in MiB.
+    /// Returns the total memory of the engine, in MiB.
     pub fn total_mib(&self) -> u32 {
         self.total_mib
     }
 
-    /// Returns the memory that is or may be taken, in MiB.
+    /// Returns the memory of all entries, in MiB: an upper bound of the memory in use.
     pub fn taken_mib(&self) -> u32 {
         let all: u64 = self.entries.iter().map(|e| u64::from(e.memory_mib)).sum();
         u32::try_from(all).unwrap_or(u32::MAX)
     }
 
-    /// Returns the memory that is surely free, in MiB.
+    /// Returns the memory that no entry uses, in MiB: a lower bound of the free memory.
     pub fn free_mib(&self) -> u32 {
         self.total_mib.saturating_sub(self.taken_mib())
     }
 
-    /// Tells whether an order's answer was lost and the engine's list has not settled it.
+    /// Returns whether an item is unconfirmed, so that the engine's list has to be requested.
     pub fn has_unconfirmed(&self) -> bool {
         self.entries.iter().any(|e| e.state == State::Unconfirmed)
     }
 
-    /// Sets memory aside for a load that is about to be ordered.
+    /// Reserves memory for a load that is about to be ordered.
     ///
     /// # Errors
     ///
-    /// See [`OrderError`]; the ledger is unchanged and the order must not be given.
+    /// See [`OrderError`]; the ledger is unchanged and the order must not be sent.
     pub fn begin_load(
         &mut self,
         item: Item,
@@ -178,7 +180,7 @@
         Ok(())
     }
 
-    /// Notes how a load ended.
+    /// Records the result of a load.
     pub fn end_load(&mut self, item: &Item, answer: Answer) {
         let Ok(i) = self.find(item) else {
             return;
@@ -190,11 +192,11 @@
         }
     }
 
-    /// Marks an item whose unload is about to be ordered. Its memory stays taken.
+    /// Marks an item whose unload is about to be ordered. Its memory stays reserved.
     ///
     /// # Errors
     ///
-    /// See [`OrderError`]; the ledger is unchanged and the order must not be given.
+    /// See [`OrderError`]; the ledger is unchanged and the order must not be sent.
     pub fn begin_unload(&mut self, item: &Item) -> Result<(), OrderError> {
         let Ok(i) = self.find(item) else {
             return Err(OrderError::Absent);
@@ -209,7 +211,7 @@
         Ok(())
     }
 
-    /// Notes how an unload ended.
+    /// Records the result of an unload.
     pub fn end_unload(&mut self, item: &Item, answer: Answer) {
         let Ok(i) = self.find(item) else {
             return;
@@ -221,13 +223,13 @@
         }
     }
 
-    /// Takes over what the engine itself lists. The list must have been asked for after the last
-    /// order's answer came or was lost.
+    /// Replaces all entries by the list that the engine returned. The list must have been requested
+    /// after the reply to the last order was received or lost.
     ///
-    /// Items that the engine is still loading or unloading stay taken and in doubt, so the caller
-    /// asks again. An order that was lost on its way may arrive at the engine even after this list
-    /// was made; that is why an engine's connection on which an order was lost is closed before
-    /// the list is asked for, and why orders carry the fencing token.
+    /// Items that the engine is still loading or unloading become unconfirmed and keep their memory
+    /// reserved, so the list has to be requested again. An order whose reply was lost may reach the
+    /// engine even after the list was made. Therefore the connection that carried the order is
+    /// closed before the list is requested, and orders carry the fencing token.
     pub fn reconcile(&mut self, listed: Vec<Entry>) {
         self.entries = listed;
         self.entries.sort_by(|a, b| a.item.cmp(&b.item));
@@ -238,7 +240,7 @@
         }
     }
 
-    /// Tells whether the engine may hold a model or an adapter on it, in any state.
+    /// Returns whether the ledger has an entry of a model or of an adapter on it, in any state.
     pub fn may_hold(&self, model: &ModelName) -> bool {
         self.entries.iter().any(|e| e.item.model == *model)
     }
--- a/crates/stair-state/src/lib.rs
+++ b/crates/stair-state/src/lib.rs
@@ -1,9 +1,10 @@
-//! The state that has to be right whatever fails, as aggregates with their own rules and no I/O.
+//! State that has to stay correct under any failure, as data types that enforce their invariants
+//! and do no I/O.
 //!
-//! - [`by_id`]: values by request id.
-//! - [`grants`]: the permission of a target to hold a model, and its two-step moves.
-//! - [`ledger`]: the accelerator memory of one engine and what is in it.
-//! - [`runs`]: which requests an agent has run, so that none runs twice.
+//! - [`by_id`]: a map from request id to value.
+//! - [`grants`]: permissions of targets to load models, moved in two steps.
+//! - [`ledger`]: the accelerator memory of one engine and the items that use it.
+//! - [`runs`]: the requests that an agent has run, so that none runs twice.
 #![deny(missing_docs)]
 #![forbid(unsafe_code)]
 
--- a/crates/stair-state/src/runs.rs
+++ b/crates/stair-state/src/runs.rs
@@ -1,9 +1,9 @@
-//! Which requests an agent has run, so that none runs twice.
+//! Records the requests of one agent so that none runs twice.
 //!
-//! An agent runs a request id at most once, and answers for sure whether it ran: a resume that
-//! finds the id not started withdraws it in the same step, so that a `Start` still under way on a
-//! broken link can no longer run it. Ids are kept for [`RETENTION`] after their end; an offer
-//! older than that does not exist, since no timeout of a caller is longer.
+//! An agent runs a request id at most once and reports with certainty whether it ran. A resume that
+//! finds the id not started withdraws it in the same step, so that a `Start` still in transit on a
+//! broken link cannot run it later. Ids are stored for [`RETENTION`] after their end. No offer
+//! arrives later than that, since no timeout of a caller is longer.
 
 use std::time::Duration;
 
@@ -15,41 +15,42 @@
 
 use crate::ById;
 
-/// Time for which an ended or withdrawn id is remembered.
+/// How long an ended or withdrawn id is stored.
 pub const RETENTION: Duration = Duration::from_secs(900);
 
-/// What is known of a request id.
+/// The phase of a request id.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Phase {
-    /// Offered and not started.
+    /// The request was offered and has not started.
     Offered,
-    /// Started; it runs or has run.
+    /// The request has started; it is running or has ended.
     Started,
-    /// It never ran and never will.
+    /// The request has not run and never will.
     Withdrawn,
 }
 
 #[derive(Debug, Clone, Copy, Serialize, Deserialize)]
 struct Run {
     phase: Phase,
-    /// When an ended or withdrawn id is forgotten, as time since the process's start.
+    /// When an ended or withdrawn id is removed, as time since the start of the process.
     forget_at: Option<Duration>,
 }
 
-/// The requests of one agent, of one incarnation.
+/// The requests of one incarnation of an agent. All times are measured from the start of the
+/// process.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 pub struct RunTable {
     runs: ById<Run>,
     next_sweep: Duration,
 }
 
-/// Sweeping every call would cost O(n) a request.
+/// Interval between sweeps of expired ids. A sweep on every call would cost O(n) per request.
 const SWEEP_INTERVAL: Duration = Duration::from_secs(10);
 
 impl RunTable {
-    /// Notes an offer. Returns false, and changes nothing, when the id was offered before: the
-    /// request must be refused.
+    /// Records an offer. Returns false if the id is known already, offered or withdrawn; the
+    /// request must then be refused.
     pub fn offer(&mut self, now: Duration, id: RequestId) -> bool {
         self.sweep(now);
         if self.runs.get(id).is_some() {
@@ -63,8 +64,8 @@
         true
     }
 
-    /// Lets an offered request run. Returns false when it must not: it was started before, was
-    /// withdrawn, or was never offered here.
+    /// Marks an offered request as started. Returns false if it must not run: it was started
+    /// before, was withdrawn, or was never offered to this incarnation.
     pub fn start(&mut self, id: RequestId) -> bool {
         match self.runs.get_mut(id) {
             Some(run) if run.phase == Phase::Offered => {
@@ -75,8 +76,8 @@
         }
     }
 
-    /// Makes sure that a request which has not started never does, also one whose offer has not
-    /// arrived yet. Returns what is known of it afterwards: `Started` or `Withdrawn`.
+    /// Prevents a request from starting unless it has started, even if its offer has not arrived
+    /// yet. Returns the resulting phase: `Started` or `Withdrawn`.
     pub fn withdraw(&mut self, now: Duration, id: RequestId) -> Phase {
         let found = self.runs.get(id).map(|run| run.phase);
         if found == Some(Phase::Started) {
@@ -90,19 +91,19 @@
         Phase::Withdrawn
     }
 
-    /// Notes that a started request's run is over.
+    /// Records that a request has ended; its id is removed after [`RETENTION`].
     pub fn end(&mut self, now: Duration, id: RequestId) {
         if let Some(run) = self.runs.get_mut(id) {
             run.forget_at = Some(now + RETENTION);
         }
     }
 
-    /// Returns the number of ids remembered.
+    /// Returns the number of stored ids.
     pub fn len(&self) -> usize {
         self.runs.len()
     }
 
-    /// Tells whether no id is remembered.
+    /// Returns whether no id is stored.
     pub fn is_empty(&self) -> bool {
         self.runs.is_empty()
     }
--- a/crates/stair-state/tests/grant_moves.rs
+++ b/crates/stair-state/tests/grant_moves.rs
@@ -1,4 +1,4 @@
-//! Grants move in two steps, and never add up to more than was decided.
+//! Grants move in two steps and never exceed the number of replicas.
 
 use proptest::prelude::*;
 use proptest_state_machine::{
@@ -24,9 +24,9 @@
     TargetName::try_from(&*format!("t{i}")).expect("a good name")
 }
 
-// The model is granted to a target again before the confirmation of its first grant arrives, which
-// a slow link had held back. If that confirmation ended the second grant, the model would be
-// granted elsewhere while the first target loads it: one replica too many.
+// A model is granted to the same target twice, and a slow link delivers the confirmation of the
+// first grant again during the second one. If that confirmation ended the second grant, the model
+// would be granted to another target while the first one loads it: one replica too many.
 #[test]
 fn late_confirmation() {
     let mut shard = GrantShard::default();
@@ -38,7 +38,7 @@
 
     assert!(
         !shard.confirm(first),
-        "an old confirmation ended a later grant"
+        "a stale confirmation ended a later grant"
     );
     assert_eq!(
         shard.grant(&model(0), &target(1), 1),
@@ -46,8 +46,8 @@
     );
 }
 
-// A target that is told to give a model back may be paused with the model loaded. Until it
-// confirms, its grant counts.
+// A target whose grant is being revoked may be frozen with the model loaded. Its grant counts until
+// it confirms.
 #[test]
 fn revoking_counts() {
     let mut shard = GrantShard::default();
@@ -59,7 +59,7 @@
     assert_eq!(refused, Err(GrantError::ReplicasExhausted(1)));
 }
 
-// A confirmation that comes although nothing was revoked is a fault of the agent; the grant stays.
+// A faulty agent confirms a grant that was not revoked; the grant stays.
 #[test]
 fn unsolicited_confirmation() {
     let mut shard = GrantShard::default();
@@ -71,24 +71,25 @@
 
 const REPLICAS: u16 = 2;
 
-/// What happens to one shard. Loads follow the target's last knowledge, which may be old.
+/// A step of the test. Loads follow the grants that the target last read, which may be stale.
 #[derive(Debug, Clone)]
 enum Step {
     Grant(u8, u8),
     Revoke(u8),
-    /// The target learns of its grants.
+    /// The target reads its grants.
     Update(u8),
-    /// The target loads a model if it believes that it holds a grant.
+    /// The target loads a model if the grants that it last read allow it.
     Load(u8, u8),
-    /// The target gives back what it knows as revoked.
+    /// The target unloads the models of its revoking grants and confirms them.
     Release(u8),
-    /// A confirmation sent earlier arrives again.
+    /// An earlier confirmation arrives again.
     Replay(usize),
-    /// The VM is taken away, with all that it holds.
+    /// The VM of the target is removed with all its loaded models.
     Vanish(u8),
 }
 
-/// The oracle is a count of what the targets hold, so the reference only makes the steps.
+/// Generates the steps. The invariants count the grants and loaded models of the system under test,
+/// so the reference needs no state.
 #[derive(Debug, Clone, Default)]
 struct Steps;
 
@@ -127,7 +128,7 @@
 struct Agent {
     known: Vec<stair_state::Grant>,
     loaded: Vec<u8>,
-    /// Ids under which nothing is loaded any more.
+    /// Ids of the grants that were confirmed as released.
     released: Vec<GrantId>,
 }
 
--- a/crates/stair-state/tests/ledger.rs
+++ b/crates/stair-state/tests/ledger.rs
@@ -1,4 +1,4 @@
-//! The ledger counts everything that an engine may hold.
+//! The ledger counts all memory that an engine may be using.
 
 use proptest::prelude::*;
 use stair_state::{
@@ -35,8 +35,8 @@
     ledger.end_load(item, Answer::Done);
 }
 
-// The engine takes its time to unload, and the agent wants the memory for another model at once.
-// The engine still holds the old one.
+// The engine unloads slowly and the agent requests the memory for another model at once. The memory
+// counts as used until the unload is confirmed.
 #[test]
 fn unloading_counts() {
     let mut ledger = Ledger::new(100, Vec::new());
@@ -50,8 +50,8 @@
     assert_eq!(ledger.begin_load(base("b"), "1", 30), Ok(()));
 }
 
-// The answer to a load is lost. Whether the engine has loaded is unknown, so the memory is taken
-// until the engine's own list settles it.
+// The reply to a load is lost. Whether the engine has loaded the model is unknown, so its memory
+// stays reserved until the engine's list is reconciled.
 #[test]
 fn lost_load() {
     let mut ledger = Ledger::new(100, Vec::new());
@@ -78,7 +78,7 @@
     assert_eq!(unload, Err(OrderError::HasAdapters));
 }
 
-/// What the agent does, and how its order ends.
+/// An action of the agent and the result of its order.
 #[derive(Debug, Clone)]
 enum Step {
     Load(u8, u32, Answer),
@@ -102,7 +102,7 @@
     ]
 }
 
-/// The engine's real memory; a lost answer means that the order took effect or not.
+/// The actual memory of the engine. An order whose reply is lost may or may not take effect.
 #[derive(Default)]
 struct Engine {
     loaded: Vec<Entry>,
@@ -131,8 +131,8 @@
         ..ProptestConfig::default()
     })]
 
-    // Orders fail, and answers are lost after the order took effect or before. Whatever the agent
-    // believes, the engine must never hold more than it has.
+    // Orders fail, and replies are lost before or after the order takes effect. If the ledger freed
+    // memory too early, the engine would load more than its total memory.
     #[test]
     fn never_over(steps in prop::collection::vec(steps(), 1..80), took_effect in any::<bool>()) {
         let mut ledger = Ledger::new(100, Vec::new());
@@ -161,7 +161,7 @@
                 }
                 Step::Reconcile => ledger.reconcile(engine.loaded.clone()),
             }
-            prop_assert!(engine.taken() <= 100, "the engine holds {}", engine.taken());
+            prop_assert!(engine.taken() <= 100, "the engine uses {} MiB", engine.taken());
             prop_assert!(ledger.taken_mib() >= engine.taken());
         }
     }
--- a/crates/stair-state/tests/single_run.rs
+++ b/crates/stair-state/tests/single_run.rs
@@ -1,4 +1,4 @@
-//! A request id runs at most once, and a withdrawal is final.
+//! A request id runs at most once and a withdrawal is final.
 
 use std::time::Duration;
 
@@ -14,9 +14,9 @@
 
 const NOW: Duration = Duration::ZERO;
 
-// The link breaks just after the entry has sent the start. The entry asks on a new link whether the
-// request ran; the start is still on its way. Once the agent has answered "not run", the late start
-// must not run it: the entry has sent the request elsewhere.
+// The link breaks just after the entry has sent the start. The entry queries on a new link whether
+// the request ran, and the query arrives before the start. After the agent has reported "not run",
+// the entry sends the request to another target, so the late start must not run it.
 #[test]
 fn start_after_withdrawal() {
     let mut table = RunTable::default();
@@ -27,7 +27,7 @@
     assert!(!table.start(RequestId(1)));
 }
 
-// The question overtakes the offer itself.
+// The query arrives even before the offer.
 #[test]
 fn offer_after_withdrawal() {
     let mut table = RunTable::default();
@@ -69,7 +69,7 @@
         ..ProptestConfig::default()
     })]
 
-    // Messages of one request arrive twice, late and in any order.
+    // Messages of a request arrive repeatedly, late and in any order.
     #[test]
     fn any_order(calls in prop::collection::vec((0..4u8, 0..3u128), 1..60)) {
         let mut table = RunTable::default();
