--- a/crates/stair-types/src/fingerprint.rs
+++ b/crates/stair-types/src/fingerprint.rs
@@ -1,7 +1,8 @@
-//! What identifies a request that comes again.
+//! Fingerprints that recognise the retries of a request.
 //!
-//! Each try of a client has another id. Its repeats have the same caller, method, host, path and body. A caller is
-//! known by the workspace of its key; addresses change with the proxies and the data centre that a try comes by.
+//! Each attempt of a client has a new request id. Retries have the same caller, method, host, path
+//! and body in common. The caller is identified by the workspace of its key, since the address
+//! changes with the proxies and the data centre that an attempt passes through.
 
 use std::fmt;
 
@@ -15,31 +16,33 @@
 };
 use xxhash_rust::xxh3::Xxh3;
 
-/// Bytes of the digest that are kept.
+/// Stored bytes of the SHA-256 digest.
 const DIGEST_BYTES: usize = 16;
 
-/// What repeats of a request have in common.
+/// The fields that all retries of a request have in common.
 #[derive(Debug, Clone, Copy)]
 pub struct Contents<'a> {
-    /// The workspace that it is for, where keys are needed.
+    /// The workspace of the caller's key; `None` where no key is required.
     pub workspace: Option<&'a str>,
-    /// Its method.
+    /// The HTTP method.
     pub method: &'a str,
-    /// The host that it asks for.
+    /// The requested host.
     pub host: &'a [u8],
-    /// Its path, with the query.
+    /// The path with the query.
     pub path: &'a str,
-    /// Its body.
+    /// The whole body.
     pub body: &'a [u8],
 }
 
-/// A hash of everything but the body, and of the body's length: cheap to take for each request. Requests with other
-/// outlines are other requests.
+/// A hash of all fields but the body, and of the body's length.
+///
+/// It is cheap enough to compute for each request. Requests with different outlines are never
+/// retries of each other.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct Outline(u64);
 
-/// Identifies a request by its contents, without keeping any of them.
+/// Identifies a request by its contents without storing any of them.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Fingerprint {
     outline: Outline,
@@ -47,7 +50,7 @@
 }
 
 impl Contents<'_> {
-    /// Takes the outline.
+    /// Computes the outline, in a time independent of the body's length.
     pub fn outline(&self) -> Outline {
         let mut hash = Xxh3::new();
         self.for_each_field(&mut |bytes| hash.update(bytes));
@@ -55,7 +58,7 @@
         Outline(hash.digest())
     }
 
-    /// Takes the fingerprint, in a time that grows with the body.
+    /// Computes the fingerprint, in a time linear in the body's length.
     pub fn fingerprint(&self) -> Fingerprint {
         let mut hash = Sha256::new();
         self.for_each_field(&mut |bytes| hash.update(bytes));
@@ -69,7 +72,8 @@
         }
     }
 
-    /// Passes on all parts but the body, each with its length: no two requests have the same bytes.
+    /// Passes all fields but the body to `sink`, each after its length, so that different fields
+    /// never give the same sequence of bytes.
     fn for_each_field(&self, sink: &mut dyn FnMut(&[u8])) {
         let mut field = |bytes: &[u8]| {
             sink(&bytes.len().to_le_bytes());
@@ -84,13 +88,13 @@
 }
 
 impl Fingerprint {
-    /// The outline of the same request.
+    /// Returns the outline of the same request.
     pub fn outline(&self) -> Outline {
         self.outline
     }
 }
 
-/// A part of the digest, enough to find the same request in logs.
+/// Writes the first 6 bytes of the digest, enough to find the same request in logs.
 impl fmt::Display for Fingerprint {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         self.digest[..6]
--- a/crates/stair-types/src/ids.rs
+++ b/crates/stair-types/src/ids.rs
@@ -1,4 +1,4 @@
-//! Numbers that order or identify things.
+//! Numeric identifiers, versions and ranks.
 
 use std::fmt;
 
@@ -28,26 +28,27 @@
 }
 
 numbers! {
-    /// The version of the whole configuration. It only rises.
+    /// The version of the whole configuration. It never decreases.
     ConfigVersion(u64),
-    /// The number of an agent's incarnation, raised at each start; orders to the engine carry it.
+    /// The number of an agent's incarnation, incremented at each start. Orders to the engine carry
+    /// it.
     FencingToken(u64),
-    /// Identifies one grant for ever: a model granted again to the same target has a new id, so
-    /// that a late confirmation cannot end a later grant.
+    /// Identifies one grant and is never reused: a model granted again to the same target has a new
+    /// id, so that a late confirmation cannot end a later grant.
     GrantId(u64),
-    /// One shard of the grants.
+    /// The number of a shard of the grants.
     ShardId(u16),
-    /// Index of a target in the arena of one process; means nothing to another process.
+    /// The index of a target in the arena of one process; invalid in any other process.
     TargetKey(u32),
-    /// Index of a model in the arena of one process; means nothing to another process.
+    /// The index of a model in the arena of one process; invalid in any other process.
     ModelKey(u32),
-    /// The rank of a tier: 0 is served first.
+    /// The rank of a tier; 0 is served first.
     TierRank(u8),
 }
 
-/// Identifies one request through all processes. Random, made by the entry.
+/// Identifies one request in all processes. The entry generates it at random.
 ///
-/// In text formats it is 32 hexadecimal digits: JSON values hold no number of 128 bits.
+/// Text formats have it as 32 hexadecimal digits, since JSON numbers do not carry 128 bits.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RequestId(pub u128);
 
@@ -89,7 +90,8 @@
     }
 }
 
-/// Identifies one apply of the configuration, so that a lost answer is settled by reading.
+/// Identifies one apply of the configuration. If the reply to its commit is lost, the id in the
+/// manifest shows whether the commit took effect.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct ApplyId(pub Box<str>);
--- a/crates/stair-types/src/key.rs
+++ b/crates/stair-types/src/key.rs
@@ -1,6 +1,6 @@
 //! Digests of API keys.
 //!
-//! A key is a secret: only its digest is kept, compared and sent to other processes.
+//! A key is a secret: only its digest is stored, compared and sent to other processes.
 
 use std::{
     cmp::Ordering,
@@ -17,23 +17,24 @@
 };
 use subtle::ConstantTimeEq as _;
 
-/// Bytes of a digest.
+/// Length of a SHA-256 digest, in bytes.
 const DIGEST_BYTES: usize = 32;
 
-/// The SHA-256 of a key.
+/// The SHA-256 digest of an API key.
 ///
-/// Unkeyed, since entries pass declarations on to each other and each has to find the same digest.
+/// The hash has no secret key, since entries forward declarations to each other and all have to
+/// compute the same digest. Equality is compared in constant time.
 #[derive(Clone, Copy, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct KeyDigest([u8; DIGEST_BYTES]);
 
 impl KeyDigest {
-    /// Takes the digest of a key.
+    /// Computes the digest of a key.
     pub fn of(key: &[u8]) -> Self {
         Self(Sha256::digest(key).into())
     }
 
-    /// The digest in lower-case hexadecimal, as declarations have it.
+    /// Returns the digest in lower-case hexadecimal, the format of declarations.
     pub fn hex(&self) -> String {
         self.0.iter().map(|b| format!("{b:02x}")).collect()
     }
@@ -53,14 +54,14 @@
     }
 }
 
-/// The order says something of digests alone, from which no key can be found.
+/// Not in constant time: its timing reveals only digests, from which no key can be recovered.
 impl Ord for KeyDigest {
     fn cmp(&self, other: &Self) -> Ordering {
         self.0.cmp(&other.0)
     }
 }
 
-/// Shows nothing of the digest: a weak key could be found from it by trial.
+/// Hides the digest, since a weak key could be recovered from it by brute force.
 impl fmt::Debug for KeyDigest {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str("KeyDigest(..)")
--- a/crates/stair-types/src/lib.rs
+++ b/crates/stair-types/src/lib.rs
@@ -1,11 +1,11 @@
-//! Names, identifiers and verdicts that every part of dandelionstair shares.
+//! Names, identifiers and verdicts shared by all crates of dandelionstair.
 //!
-//! - [`fingerprint`]: what identifies a request that comes again.
+//! - [`fingerprint`]: fingerprints that recognise the retries of a request.
+//! - [`ids`]: numeric identifiers, versions and ranks.
 //! - [`key`]: digests of API keys.
-//! - [`names`]: checked names of models, adapters, targets, tiers and so on.
-//! - [`ids`]: numbers that order or identify things.
-//! - [`rendezvous`]: who is responsible for a key.
-//! - [`verdict`]: what is known about a request that failed.
+//! - [`names`]: validated names of models, adapters, targets, tiers and others.
+//! - [`rendezvous`]: rendezvous hashing, which selects the owner of a key.
+//! - [`verdict`]: whether a failed request may have run, and why it failed.
 #![deny(missing_docs)]
 #![forbid(unsafe_code)]
 
--- a/crates/stair-types/src/names.rs
+++ b/crates/stair-types/src/names.rs
@@ -1,7 +1,7 @@
-//! Checked names.
+//! Validated names of models, targets, tiers and others.
 //!
-//! A name is 1 to 128 bytes of ASCII letters, digits, `.`, `_`, `-`. The slash is excluded
-//! because it separates a model from its adapter in a caller's request (`model/adapter`).
+//! A name has 1 to 128 ASCII letters, digits, `.`, `_` and `-`. The slash is excluded because it
+//! separates a model from its adapter in a caller's request (`model/adapter`).
 
 use std::fmt;
 
@@ -10,19 +10,19 @@
     Serialize, //
 };
 
-/// Longest name accepted, in bytes.
+/// Maximum length of a name, in bytes.
 pub const MAX_NAME_BYTES: usize = 128;
 
 /// Why a text is not a name.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum NameError {
-    /// The text has no characters.
+    /// The text is empty.
     #[error("a name must not be empty")]
     Empty,
     /// The text is longer than [`MAX_NAME_BYTES`].
     #[error("a name has at most {MAX_NAME_BYTES} bytes, found {0}")]
     TooLong(usize),
-    /// The text holds a character that names do not have.
+    /// The text contains a character that is not allowed in names.
     #[error("a name has letters, digits, '.', '_' and '-' only, found {0:?}")]
     BadCharacter(char),
 }
@@ -104,7 +104,7 @@
     EntryName,
     /// The name of a priority tier.
     TierName,
-    /// The name of a caller; never the caller's key.
+    /// The name of a caller, never the key of the caller.
     CallerName,
     /// The name of a plain service.
     ServiceName,
--- a/crates/stair-types/src/rendezvous.rs
+++ b/crates/stair-types/src/rendezvous.rs
@@ -1,14 +1,14 @@
-//! Rendezvous hashing: everybody who knows the same names agrees on their order for a key, and a
-//! name that comes or goes moves only the keys that it held.
+//! Rendezvous hashing: all processes that know the same names compute the same ranking of them for
+//! a key, and adding or removing a name changes only the owner of the keys that this name owns.
 
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// Returns the weight of a name for a key; the highest is the key's home.
+/// Returns the weight of a name for a key. The name with the highest weight owns the key.
 pub fn weight(key: &str, name: &str) -> u64 {
     xxh3_64_with_seed(name.as_bytes(), xxh3_64_with_seed(key.as_bytes(), 0))
 }
 
-/// Returns the indices of `names`, best first.
+/// Returns the indices of `names` by descending weight for a key; the first one is the owner.
 pub fn ranked<'a, I>(key: &str, names: I) -> Vec<usize>
 where
     I: IntoIterator<Item = &'a str>,
--- a/crates/stair-types/src/verdict.rs
+++ b/crates/stair-types/src/verdict.rs
@@ -1,22 +1,22 @@
-//! What is known about a request that did not get its answer.
+//! Whether a failed request may have run, and why it failed.
 
 use serde::{
     Deserialize,
     Serialize, //
 };
 
-/// Says whether a request may have run at a target.
+/// States whether a request may have run at a target.
 ///
-/// Only [`Verdict::NotRun`] lets work that may not be repeated go elsewhere, and a caller who
-/// reads it may send the request again without being billed twice.
+/// Only [`Verdict::NotRun`] allows a request that must not run twice to be sent to another target.
+/// A caller that receives it may send the request again without being billed twice.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Verdict {
     /// No target has run any part of the request and none will.
     NotRun,
-    /// A target may have run it, be running it or run it still.
+    /// A target may have run the request, may be running it or may run it later.
     MayHaveRun,
-    /// The target's whole answer was received.
+    /// The complete response of the target was received.
     Answered,
 }
 
@@ -31,39 +31,40 @@
     }
 }
 
-/// Why a request was given up on.
+/// Why a request failed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Reason {
-    /// The request is malformed or too large; sending it again does not help.
+    /// The request is malformed or too large; a retry would fail as well.
     Invalid,
     /// The caller's key is missing or unknown.
     Unauthorized,
     /// No such model, adapter or service is declared.
     Unknown,
-    /// The expected finish lies after the deadline.
+    /// The request is expected to finish after its deadline.
     WouldMissDeadline,
     /// A queue is full.
     QueueFull,
-    /// Work of a higher tier took the place of this request in a queue.
+    /// A request of a higher tier displaced this one from a queue.
     Displaced,
-    /// No target that may serve the request can be reached.
+    /// No target that may serve the request is reachable.
     NoTarget,
-    /// The process is stopping or its VM is leaving.
+    /// The process is shutting down or its VM is about to be removed.
     Leaving,
-    /// The target does not hold a grant for the model, or holds it no longer.
+    /// The target has no grant of the model, or its grant was revoked.
     NotGranted,
-    /// The model cannot be loaded now: no memory, or the load failed.
+    /// The model cannot be loaded now, for lack of memory or because the load failed.
     LoadFailed,
     /// The deadline passed.
     DeadlinePassed,
-    /// The link to the target or the target's stream broke.
+    /// The link to the target or the response stream of the target was interrupted.
     LinkLost,
-    /// The target answered with an error of its own.
+    /// The target responded with an error.
     TargetFailed,
     /// The idempotency key was used before.
     Duplicate,
-    /// The platform cannot confirm what has to be agreed before the request may run.
+    /// The platform is unavailable, and the entry lacks state that the request needs: a confirmed
+    /// claim of its idempotency key, or any configuration.
     PlatformDown,
     /// The caller or the entry withdrew the request.
     Withdrawn,
@@ -93,22 +94,22 @@
     }
 }
 
-/// A final "no" to a request, from any process on its way.
+/// A final refusal of a request by any process that handles it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct Refusal {
     /// Whether the request may have run.
     pub verdict: Verdict,
-    /// Why it was given up on.
+    /// Why it was refused.
     pub reason: Reason,
-    /// When it is worth asking again, in milliseconds from now; 0 when asking again is useless.
+    /// The delay after which a retry may succeed, in milliseconds; 0 if no retry can succeed.
     pub retry_after_ms: u32,
     /// A short sentence for the caller.
     pub message: Box<str>,
 }
 
 impl Refusal {
-    /// Makes a refusal of a request that has surely not run.
+    /// Creates a refusal of a request that has not run and never will.
     pub fn not_run(reason: Reason, retry_after_ms: u32, message: impl Into<Box<str>>) -> Self {
         Self {
             verdict: Verdict::NotRun,
@@ -118,7 +119,7 @@
         }
     }
 
-    /// Makes a refusal of a request that may have run.
+    /// Creates a refusal of a request that may have run.
     pub fn may_have_run(reason: Reason, retry_after_ms: u32, message: impl Into<Box<str>>) -> Self {
         Self {
             verdict: Verdict::MayHaveRun,
--- a/crates/stair-types/tests/fingerprint.rs
+++ b/crates/stair-types/tests/fingerprint.rs
@@ -1,4 +1,4 @@
-//! Which requests are taken for repeats of one another.
+//! Only requests with the same contents have the same fingerprint.
 
 use stair_types::fingerprint::Contents;
 
@@ -10,7 +10,7 @@
     body: b"prompt",
 };
 
-/// Two requests that differ in any part.
+/// If a field were left out of the fingerprint, different requests would pass for retries.
 #[test]
 fn every_field_counts() {
     let others = [
@@ -45,7 +45,8 @@
     assert_eq!(REQUEST.fingerprint(), REQUEST.fingerprint());
 }
 
-/// A body of the same length has the same outline: only the fingerprint tells them apart.
+/// Requests with different bodies of the same length have the same outline and differ only in the
+/// fingerprint.
 #[test]
 fn outline_ignores_body_bytes() {
     let other = Contents {
@@ -56,7 +57,8 @@
     assert_eq!(REQUEST.fingerprint().outline(), REQUEST.outline());
 }
 
-/// Bytes that move from one part to the next make another request.
+/// If fields were hashed without their lengths, moving a byte from one field to the next would give
+/// the same hash.
 #[test]
 fn field_boundaries_count() {
     let one = Contents {
@@ -73,7 +75,7 @@
     assert_ne!(one.outline(), other.outline());
 }
 
-/// Neither the body nor the caller can be read in logs.
+/// The formatted fingerprint must not leak the body or the caller into logs.
 #[test]
 fn contents_not_logged() {
     let shown = format!("{} {0:?}", REQUEST.fingerprint());
