--- a/crates/stair-platform/src/apply.rs
+++ b/crates/stair-platform/src/apply.rs
@@ -1,8 +1,9 @@
-//! Putting a catalogue in force as a whole.
+//! Puts a catalogue in force atomically.
 //!
-//! Chunks are written first, and a conditional update of the manifest commits the apply. Until
-//! then nobody reads the new chunks, so an apply that dies half-way changes nothing. The update
-//! names the version that the apply was made from: of two operators who race, one gets a conflict.
+//! The chunks are written first, and a conditional update of the manifest commits the apply. No
+//! process reads the new chunks before the commit, so an interrupted apply changes nothing. The
+//! update requires the version that the apply was made from: of two concurrent applies, one gets a
+//! conflict.
 
 use std::time::Duration;
 
@@ -38,58 +39,60 @@
     }, //
 };
 
-/// The version before the first apply.
+/// The version of the configuration before the first apply.
 pub const INITIAL_VERSION: ConfigVersion = ConfigVersion(0);
 
-/// Applies that the manifest remembers. At 13,000 a day one comes every 7 s, so a lost answer can
-/// be settled for more than two minutes, longer than anyone waits for it; and every entry reads them
-/// at each change.
+/// Maximum number of earlier applies that the manifest lists. At 13,000 applies a day there is one
+/// every 7 s, so the outcome of a commit can be determined for more than two minutes, longer than
+/// any operator waits for it. The list is short because every entry reads it at each change.
 const MAX_EARLIER_APPLIES: usize = 24;
 
-/// Pause between two tries, so that an outage is not met with a storm of calls.
+/// Interval between two attempts of a call. It limits the rate of calls during an outage.
 const RETRY_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Least time to find out what became of a commit whose answer was lost. Most of the operator's
-/// patience may have gone into an outage before, and what is settled here spares him the doubt.
+/// Minimum timeout for determining the outcome of a commit whose reply was lost. It applies even if
+/// an earlier outage has used up most of [`Options::patience`], so that the operator still gets the
+/// outcome.
 const RECONCILE_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// How to apply.
+/// Options of an apply.
 #[derive(Debug, Clone)]
 pub struct Options {
-    /// Unique for this apply; a lost answer is settled by looking for it.
+    /// Unique to this apply. If the reply to the commit is lost, this id in the manifest shows that
+    /// the commit took effect.
     pub apply_id: ApplyId,
-    /// The version that the declarations were made from; none takes the one in force now.
+    /// The version that the declarations were made from; `None` takes the version in force.
     pub from: Option<ConfigVersion>,
-    /// How long to try again while the platform does not answer.
+    /// How long calls are retried while the platform is unavailable.
     pub patience: Duration,
 }
 
-/// What an apply has come to.
+/// The outcome of an apply.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Outcome {
     /// The catalogue is in force with this version.
     Applied(ConfigVersion),
     /// The catalogue was in force already with this version.
     Unchanged(ConfigVersion),
-    /// Another apply came first; nothing of this one is in force.
+    /// Another apply was committed first; nothing of this one is in force.
     Conflict {
         /// The version that this apply was made from.
         from: ConfigVersion,
         /// The version in force.
         found: ConfigVersion,
     },
-    /// The answer to the commit was lost, and the platform did not tell in time whether it took
-    /// effect. It still may, unless another apply comes first.
+    /// The reply to the commit was lost, and whether it took effect could not be determined in
+    /// time. It may still take effect unless another apply is committed first.
     Undetermined(ConfigVersion),
 }
 
-/// Why an apply was given up on. Nothing of it is in force or ever will be.
+/// Why an apply failed. Nothing of it is in force or ever will be.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum Error {
     /// The manifest could not be read.
     #[error("cannot read the configuration in force: {0}")]
     Read(#[from] load::Error),
-    /// The catalogue cannot be cut into chunks.
+    /// The catalogue cannot be split into chunks.
     #[error("cannot store the catalogue: {0}")]
     Chunks(#[from] chunks::Error),
     /// A chunk or the manifest could not be written.
@@ -101,7 +104,7 @@
 ///
 /// # Errors
 ///
-/// See [`Error`]; a commit whose fate is unknown is an [`Outcome`].
+/// See [`Error`]; a commit whose effect is unknown is no error but [`Outcome::Undetermined`].
 pub async fn apply<S>(store: &S, catalogue: &Catalogue, opts: &Options) -> Result<Outcome, Error>
 where
     S: ObjectStore,
@@ -178,8 +181,8 @@
     loop {
         let put = store.put(Kind::Chunk, &chunk.hash, &chunk.value, Condition::Absent);
         match put.await {
-            // A chunk of this name has this content, whoever wrote it: another apply, or a try of
-            // ours whose answer was lost.
+            // The name is the content hash, so a present chunk has this content. It was written by
+            // another apply, or by an earlier attempt whose reply was lost.
             Ok(_) | Err(types::Error::Conflict) => return Ok(()),
             Err(e) if is_transient(&e) && Instant::now() < deadline => sleep(RETRY_INTERVAL).await,
             Err(e) => return Err(e),
@@ -197,17 +200,17 @@
     S: ObjectStore,
 {
     let condition = head.map_or(Condition::Absent, |h| Condition::Version(h.revision));
-    // All keys are texts, so that the encoding does not fail.
+    // The encoding cannot fail, since all keys are strings.
     let value = serde_json::to_value(manifest).unwrap_or_default();
     loop {
         let put = store.put(Kind::Manifest, MANIFEST, &value, condition);
         match put.await {
             Ok(_) => return Ok(Outcome::Applied(manifest.version)),
-            // An answer that does not decode tells no more than a lost one.
+            // A reply that does not decode leaves the outcome as unknown as a lost one.
             Err(types::Error::Conflict | types::Error::Unknown(_) | types::Error::Invalid(_)) => {
                 return Ok(reconcile_commit(store, head, manifest, deadline).await);
             }
-            // Nothing was written for certain, so writing again cannot apply twice.
+            // Nothing was written, so another attempt cannot apply twice.
             Err(types::Error::Unavailable(_)) if Instant::now() < deadline => {
                 sleep(RETRY_INTERVAL).await
             }
@@ -216,9 +219,10 @@
     }
 }
 
-// The platform's answer to the commit can be lost after the commit has taken effect. The operator
-// would notice that his apply "failed" and yet is in force, and a second try would meet its own
-// first one as a conflict. So the manifest is read until it tells what became of the commit.
+// Reads the manifest until it shows the outcome of a commit whose reply was lost or was a conflict.
+//
+// The reply can be lost after the commit has taken effect. Without this check, the operator would
+// see a failed apply that is in force, and another attempt would conflict with the first one.
 async fn reconcile_commit<S>(
     store: &S,
     head: Option<&Head>,
@@ -243,15 +247,15 @@
         let found = version_of(now.as_ref());
         let from = version_of(head);
         if found != from {
-            // The condition of our commit can never hold again. Only when so many applies came
-            // after it that it would be forgotten its absence proves nothing.
+            // The condition of our commit can never be met again. A missing id proves that the
+            // commit had no effect, unless more applies followed than the manifest lists.
             let later = found.0.saturating_sub(manifest.version.0);
             if usize::try_from(later).is_ok_and(|later| later <= MAX_EARLIER_APPLIES) {
                 return Outcome::Conflict { from, found };
             }
             return undetermined;
         }
-        // Unchanged: the commit may be on its way still.
+        // The manifest is unchanged, but the commit may still be in transit.
         if Instant::now() >= deadline {
             return undetermined;
         }
--- a/crates/stair-platform/src/http.rs
+++ b/crates/stair-platform/src/http.rs
@@ -1,7 +1,8 @@
 //! The platform's object API over HTTP.
 //!
-//! The mapping stands at [`crate::types`]. A write whose answer is lost, late or unreadable may
-//! have taken effect and is [`Error::Unknown`]; the same on a read is [`Error::Unavailable`].
+//! [`crate::types`] describes the mapping. If the reply to a write is lost or late, or a
+//! successful one does not decode, the write may have taken effect and the call returns
+//! [`Error::Unknown`]. A read whose reply is lost or late returns [`Error::Unavailable`].
 
 use std::{
     net::SocketAddr,
@@ -52,15 +53,16 @@
     },
 };
 
-/// Bounds of the calls.
+/// Limits of the calls.
 #[derive(Debug, Clone, Copy)]
 pub struct Options {
-    /// Time for a whole call; a watch has its wait in addition.
+    /// The timeout of a whole call. A watch may take this long in addition to its wait.
     pub call_timeout: Duration,
-    /// Bytes of an answer, that is, of a whole list.
+    /// The maximum size of a reply, in bytes. It has to suffice for a whole list.
     pub max_answer_bytes: usize,
-    /// Calls at once, waiting watches among them; further ones wait within their own time. When
-    /// the platform is slow, a process would otherwise pile up calls without end and keep it slow.
+    /// The maximum number of concurrent calls, waiting watches included. Further calls wait for a
+    /// slot within their own timeout. Without this limit, calls would accumulate while the platform
+    /// is slow and would keep it slow.
     pub max_calls: usize,
 }
 
@@ -74,13 +76,13 @@
     }
 }
 
-/// Calls made since the start, by kind, with those that failed among them. A conflict, a missing
-/// object and a watch position that is too old are answers, not failures.
+/// Numbers of calls since the start of the process, by operation, and of failures. A conflict, a
+/// missing object and a watch position that is too old don't count as failures.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize)]
 pub struct Calls {
-    /// Reads of one object.
+    /// Reads of a single object.
     pub get: u64,
-    /// Reads of a whole kind.
+    /// Lists of all objects of a kind.
     pub list: u64,
     /// Writes.
     pub put: u64,
@@ -88,7 +90,7 @@
     pub delete: u64,
     /// Watches.
     pub watch: u64,
-    /// Calls that ended in `Unavailable`, `Unknown` or `Invalid`.
+    /// Calls that returned `Unavailable`, `Unknown` or `Invalid`.
     pub failed: u64,
 }
 
@@ -102,7 +104,7 @@
     failed: AtomicU64,
 }
 
-/// The platform at one address. Cloning shares connections and counts.
+/// The platform's object API at one address. Clones share connections, slots and counters.
 #[derive(Clone)]
 pub struct HttpStore {
     client: client::Client,
@@ -129,11 +131,12 @@
 }
 
 impl HttpStore {
-    /// Makes a store; it opens no connection yet.
+    /// Creates a store without connecting.
     pub fn new(addr: SocketAddr, opts: Options) -> Self {
         let defaults = client::Options::default();
         let client_opts = client::Options {
-            // Has to pass first, so that a call that was never sent is known as such.
+            // Shorter than the timeout of a call, so that a call that was never sent is reported as
+            // such.
             connect_timeout: defaults.connect_timeout.min(opts.call_timeout / 2),
             ..defaults
         };
@@ -145,7 +148,7 @@
         }
     }
 
-    /// Returns the calls made so far.
+    /// Returns the numbers of calls since the start of the process.
     pub fn calls(&self) -> Calls {
         let read = |counter: &AtomicU64| counter.load(Ordering::Relaxed);
         Calls {
@@ -178,8 +181,8 @@
     {
         let slot = timeout(call.timeout, self.slots.acquire()).await;
         let Ok(Ok(_slot)) = slot else {
-            // Nothing was sent, so a write has surely had no effect.
-            return Err(Error::Unavailable("too many calls wait".into()));
+            // The call was not sent, so a write had no effect.
+            return Err(Error::Unavailable("no slot was free in time".into()));
         };
         counter.fetch_add(1, Ordering::Relaxed);
         self.send(call).await
@@ -196,13 +199,13 @@
                 return Err(Error::Unavailable(e.to_string().into()));
             }
             Ok(Err(e)) => return Err(lost_reply(call.effect, &e.to_string())),
-            Err(_) => return Err(lost_reply(call.effect, "no answer in time")),
+            Err(_) => return Err(lost_reply(call.effect, "no reply in time")),
         };
         if status != StatusCode::OK {
             return Err(status_error(call.effect, status));
         }
         serde_json::from_slice(&body).map_err(|e| match call.effect {
-            // The write was accepted, but its version is not known.
+            // The write was accepted, but its version is unknown.
             Effect::Write => Error::Unknown(e.to_string().into()),
             Effect::Read => Error::Invalid(e.to_string().into()),
         })
@@ -300,7 +303,7 @@
     let plain = |b: u8| b.is_ascii_alphanumeric() || matches!(b, b'.' | b'_' | b'-');
     if name.is_empty() || !name.bytes().all(plain) {
         return Err(Error::Invalid(
-            format!("not an object's name: {name:?}").into(),
+            format!("not a valid object name: {name:?}").into(),
         ));
     }
     Ok(format!("/objects/{}/{name}", kind.as_str()))
@@ -329,8 +332,8 @@
         StatusCode::CONFLICT => Error::Conflict,
         StatusCode::NOT_FOUND => Error::NotFound,
         StatusCode::GONE => Error::Gone,
-        StatusCode::SERVICE_UNAVAILABLE => Error::Unavailable("it answered 503".into()),
+        StatusCode::SERVICE_UNAVAILABLE => Error::Unavailable("it replied with 503".into()),
         status if status.is_server_error() => lost_reply(effect, status.as_str()),
-        status => Error::Invalid(format!("it answered {status}").into()),
+        status => Error::Invalid(format!("it replied with {status}").into()),
     }
 }
--- a/crates/stair-platform/src/lib.rs
+++ b/crates/stair-platform/src/lib.rs
@@ -1,10 +1,10 @@
-//! The edge to the platform's object API.
+//! The client of the platform's object API.
 //!
-//! - [`types`]: kinds of objects, their values and the errors of a call.
-//! - [`apply`]: puts a catalogue in force as a whole.
+//! - [`apply`]: puts a catalogue in force atomically.
+//! - [`http`]: [`HttpStore`], the client of the platform's HTTP API.
 //! - [`load`]: reads the configuration in force.
-//! - [`store`]: the trait at the edge of a process, [`ObjectStore`].
-//! - [`http`]: the store that speaks the platform's HTTP API, [`HttpStore`].
+//! - [`store`]: [`ObjectStore`], the trait of the object API.
+//! - [`types`]: the kinds of objects, their values and the errors of a call.
 #![deny(missing_docs)]
 #![forbid(unsafe_code)]
 
--- a/crates/stair-platform/src/load.rs
+++ b/crates/stair-platform/src/load.rs
@@ -1,4 +1,4 @@
-//! Reading the configuration in force.
+//! Reads the configuration in force.
 
 use stair_config::{
     Catalogue,
@@ -24,8 +24,8 @@
 /// The name of the only object of kind [`Kind::Manifest`].
 pub const MANIFEST: &str = "manifest";
 
-/// Chunks read at once. Enough to hide the latency of a call, and a small part of the platform's
-/// two thousand reads a second when several entries start together.
+/// Maximum number of concurrent reads of chunks. Enough to hide the latency of a call, and a small
+/// fraction of the platform's 2,000 reads per second even if several entries start together.
 const MAX_CONCURRENT_READS: usize = 8;
 
 /// Why the configuration cannot be read.
@@ -34,36 +34,36 @@
     /// A call failed.
     #[error(transparent)]
     Platform(#[from] types::Error),
-    /// The manifest's value does not decode.
+    /// The value of the manifest does not decode.
     #[error("the manifest does not decode: {0}")]
     Manifest(Box<str>),
-    /// The manifest refers to a chunk that is not there.
+    /// The manifest refers to a chunk that does not exist.
     #[error("chunk {0} is missing")]
     Missing(Box<str>),
-    /// The chunks do not fit together.
+    /// The chunks do not make up a valid catalogue.
     #[error(transparent)]
     Chunks(#[from] chunks::Error),
 }
 
-/// The manifest as it was read.
+/// The manifest and the version of its object.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Head {
     /// The manifest.
     pub manifest: Manifest,
-    /// The object's version, for a conditional update.
+    /// The version of the manifest's object, for a conditional update.
     pub revision: u64,
 }
 
 /// The configuration in force.
 #[derive(Debug, Clone, PartialEq)]
 pub struct InForce {
-    /// Its version.
+    /// The version of the configuration.
     pub version: ConfigVersion,
-    /// Its content.
+    /// The declarations of the configuration.
     pub catalogue: Catalogue,
 }
 
-/// Reads the manifest; none when nothing was ever applied.
+/// Reads the manifest. Returns `None` before the first apply.
 ///
 /// # Errors
 ///
@@ -82,7 +82,7 @@
     }
 }
 
-/// Reads manifest and chunks; none when nothing was ever applied.
+/// Reads the manifest and its chunks. Returns `None` before the first apply.
 ///
 /// # Errors
 ///
@@ -101,7 +101,7 @@
     }))
 }
 
-/// Decodes the manifest's object.
+/// Decodes the manifest from its object.
 ///
 /// # Errors
 ///
@@ -110,11 +110,11 @@
     serde_json::from_value(object.value.clone()).map_err(|e| Error::Manifest(e.to_string().into()))
 }
 
-/// Makes the configuration from objects at hand, as a watch or another process brought them.
+/// Builds the configuration from objects received by a watch or from another process.
 ///
 /// # Errors
 ///
-/// [`Error::Missing`] when `objects` lacks a chunk, or [`Error::Chunks`].
+/// [`Error::Missing`] if `objects` lacks a chunk, or [`Error::Chunks`].
 pub fn join(manifest: &Manifest, objects: &[Object]) -> Result<InForce, Error> {
     let mut chunks = Vec::with_capacity(manifest.chunks.len());
     for ChunkRef { hash } in &manifest.chunks {
--- a/crates/stair-platform/src/store.rs
+++ b/crates/stair-platform/src/store.rs
@@ -1,4 +1,4 @@
-//! The trait at the edge of a process.
+//! The trait of the platform's object API.
 
 use std::time::Duration;
 
@@ -12,29 +12,32 @@
     Page, //
 };
 
-/// The platform's object API. Every call counts against the platform's rate, a waiting watch as
-/// one; no call waits longer than the implementation's timeout.
+/// The platform's object API.
+///
+/// Every call counts against the rate limit of the platform; a waiting watch counts as one call.
+/// The implementation bounds the duration of each call by a timeout.
 pub trait ObjectStore: Clone + Send + Sync + 'static {
     /// Reads one object.
     ///
     /// # Errors
     ///
-    /// [`Error::NotFound`], or as any call.
+    /// [`Error::NotFound`] if the object does not exist, [`Error::Unavailable`] or
+    /// [`Error::Invalid`].
     fn get(&self, kind: Kind, name: &str) -> impl Future<Output = Result<Object, Error>> + Send;
 
     /// Reads all objects of a kind.
     ///
     /// # Errors
     ///
-    /// As any call.
+    /// [`Error::Unavailable`] or [`Error::Invalid`].
     fn list(&self, kind: Kind) -> impl Future<Output = Result<Page, Error>> + Send;
 
-    /// Writes an object if the condition holds, and returns its new version.
+    /// Writes an object if the condition is met, and returns its new version.
     ///
     /// # Errors
     ///
-    /// [`Error::Conflict`] when the condition does not hold; [`Error::Unknown`] when the write may
-    /// have taken effect.
+    /// [`Error::Conflict`] if the condition is not met; [`Error::Unknown`] if the write may have
+    /// taken effect; [`Error::Unavailable`] or [`Error::Invalid`].
     fn put(
         &self,
         kind: Kind,
@@ -47,7 +50,7 @@
     ///
     /// # Errors
     ///
-    /// As [`ObjectStore::put`].
+    /// As [`ObjectStore::put`], and [`Error::NotFound`] if the object does not exist.
     fn delete(
         &self,
         kind: Kind,
@@ -55,11 +58,12 @@
         version: u64,
     ) -> impl Future<Output = Result<(), Error>> + Send;
 
-    /// Waits until an object of one of the kinds changes after `since`, at most for `wait`.
+    /// Waits at most `wait` for changes of objects of the given kinds after the revision `since`.
+    /// The page is empty if there were none.
     ///
     /// # Errors
     ///
-    /// [`Error::Gone`] when `since` is too old, or as any call.
+    /// [`Error::Gone`] if `since` is too old, [`Error::Unavailable`] or [`Error::Invalid`].
     fn watch(
         &self,
         kinds: &[Kind],
--- a/crates/stair-platform/src/types.rs
+++ b/crates/stair-platform/src/types.rs
@@ -1,16 +1,16 @@
-//! Objects that dandelionstair keeps in the platform, and what a call can come to.
+//! The objects that dandelionstair stores in the platform, and the errors of a call.
 //!
-//! HTTP mapping, as the stand-in serves it and the client calls it, all bodies JSON:
+//! The HTTP mapping, used by the client and by the stand-in; all bodies are JSON:
 //!
-//! | call | request | answer |
+//! | call | request | reply |
 //! | --- | --- | --- |
 //! | get | `GET /objects/KIND/NAME` | 200 [`Object`], 404 |
 //! | list | `GET /objects/KIND` | 200 [`Page`] |
 //! | put | `PUT /objects/KIND/NAME` with `If-None-Match: *` or `If-Match: VERSION` | 200 `{"version":N}`, 409, 413 |
 //! | delete | `DELETE /objects/KIND/NAME` with `If-Match: VERSION` | 200, 404, 409 |
-//! | watch | `GET /watch?kinds=a,b&since=REVISION&timeout_ms=N` | 200 [`Page`] of changes, at once or when one comes; empty after the timeout; 410 when `since` is too old, then list again |
+//! | watch | `GET /watch?kinds=a,b&since=REVISION&timeout_ms=N` | 200 [`Page`] of changes as soon as there is one, empty after the timeout; 410 if `since` is too old and a list is needed |
 //!
-//! Versions are numbers of one revision counter for the whole store, so that a watch on several
+//! Versions are values of a single revision counter of the whole store, so that a watch on several
 //! kinds has one position.
 
 use std::net::SocketAddr;
@@ -30,21 +30,22 @@
     TargetName, //
 };
 
-/// The kinds of objects.
+/// The kind of an object.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Kind {
-    /// [`Manifest`], one object named `manifest`.
+    /// [`Manifest`]: a single object named `manifest`.
     Manifest,
-    /// Immutable parts of the configuration, named by content hash.
+    /// An immutable chunk of the configuration, named by its content hash.
     Chunk,
-    /// `stair_state::GrantShard`, named by shard number in decimal.
+    /// `stair_state::GrantShard`, named by its shard number in decimal.
     Grants,
-    /// [`IncarnationRecord`], named by target.
+    /// [`IncarnationRecord`], named by its target.
     Incarnation,
-    /// [`ClaimShard`], named by shard number in decimal.
+    /// [`ClaimShard`], named by its shard number in decimal.
     Claims,
-    /// [`Vm`], named by VM; read only, lagging, kept by the platform itself.
+    /// [`Vm`], named by its VM. The platform itself writes these objects, with a delay; they are
+    /// read only.
     Vm,
 }
 
@@ -62,20 +63,20 @@
     }
 }
 
-/// One object as read.
+/// An object as read from the store.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Object {
-    /// The kind.
+    /// The kind of the object.
     pub kind: Kind,
-    /// The name within the kind.
+    /// The name, unique within the kind.
     pub name: Box<str>,
-    /// The store's revision at which it was last written.
+    /// The revision of the store at which the object was last written.
     pub version: u64,
-    /// The value; JSON text.
+    /// The value, in the type that [`Kind`] states.
     pub value: serde_json::Value,
 }
 
-/// One change seen by a watch.
+/// One change of an object.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Event {
@@ -83,126 +84,127 @@
     Put(Object),
     /// The object was deleted.
     Deleted {
-        /// The kind.
+        /// The kind of the object.
         kind: Kind,
-        /// The name.
+        /// The name, unique within the kind.
         name: Box<str>,
-        /// The store's revision of the deletion.
+        /// The revision of the store at which the object was deleted.
         version: u64,
     },
 }
 
-/// The answer to a list or a watch.
+/// The reply to a list or a watch.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct Page {
-    /// The store's revision that this is complete up to; the next watch's `since`.
+    /// The revision of the store up to which the page is complete; the `since` of the next watch.
     pub revision: u64,
-    /// For a list, the objects as puts; for a watch, the changes in order.
+    /// For a list, all objects as [`Event::Put`]; for a watch, the changes in order of revision.
     pub events: Vec<Event>,
 }
 
-/// What a put demands of the object's present state.
+/// The precondition of a write on the current state of the object.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Condition {
     /// The object does not exist.
     Absent,
-    /// The object has this version.
+    /// The object exists with this version.
     Version(u64),
 }
 
-/// What a call can come to.
+/// Why a call failed.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum Error {
-    /// The condition does not hold; nothing was written.
-    #[error("the object has changed meanwhile")]
+    /// The condition was not met; nothing was written.
+    #[error("the object is not in the expected state")]
     Conflict,
-    /// There is no such object.
+    /// The object does not exist.
     #[error("no such object")]
     NotFound,
-    /// The watch's position is too old; list again.
+    /// The position of the watch is too old; a list is needed.
     #[error("the watch position is too old")]
     Gone,
-    /// Nothing was written for certain: the platform refused or the call was never sent.
+    /// The call had no effect: the platform refused it, it was not sent, or it was a read whose
+    /// reply was lost.
     #[error("the platform is unavailable: {0}")]
     Unavailable(Box<str>),
-    /// The answer was lost: a write may have taken effect, now or later.
-    #[error("the platform's answer was lost: {0}")]
+    /// The reply to a write was lost: the write may have taken effect or may do so later.
+    #[error("the reply of the platform was lost: {0}")]
     Unknown(Box<str>),
-    /// The answer does not decode or the value is too large.
-    #[error("the platform rejected the call or answered nonsense: {0}")]
+    /// The call is invalid, its value is too large, or the reply does not decode.
+    #[error("the platform rejected the call or sent an invalid reply: {0}")]
     Invalid(Box<str>),
 }
 
-/// The object that commits an apply: the whole configuration by reference.
+/// The object whose update commits an apply. It refers to the chunks of the whole configuration.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Manifest {
-    /// Rises by one with each apply.
+    /// The version of the configuration, incremented by one at each apply.
     pub version: ConfigVersion,
-    /// The apply that wrote it.
+    /// The apply that wrote this manifest.
     pub apply_id: ApplyId,
-    /// The last few applies before, newest first, so that a lost answer can be settled although
-    /// another apply has followed.
+    /// The preceding applies, newest first, up to a fixed number. After a lost reply to a commit,
+    /// they show whether it took effect even if another apply has followed.
     pub earlier: Vec<ApplyId>,
-    /// The chunks of the catalogue, in order.
+    /// The chunks of the catalogue in order.
     pub chunks: Vec<ChunkRef>,
 }
 
-/// A chunk of the configuration.
+/// A reference to a chunk of the configuration.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct ChunkRef {
-    /// The chunk's content name, its object's name.
+    /// The content hash of the chunk, which is the name of its object.
     pub hash: Box<str>,
 }
 
-/// What stands on a target's VM.
+/// What runs on the VM of a target.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum TargetKind {
-    /// A model engine with this much accelerator memory, in MiB.
+    /// An engine, which runs models.
     Engine {
-        /// Accelerator memory.
+        /// The accelerator memory, in MiB.
         memory_mib: u32,
     },
     /// A plain service.
     Service {
-        /// Which.
+        /// The name of the service.
         service: ServiceName,
     },
 }
 
-/// The present agent of a target.
+/// The current incarnation of the agent of a target.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct IncarnationRecord {
-    /// The fencing token; rises by one with each start of an agent.
+    /// The fencing token, incremented by one at each start of the agent.
     pub token: FencingToken,
-    /// Where the agent listens for links.
+    /// The address at which the agent accepts links.
     pub link: SocketAddr,
-    /// The target's data centre.
+    /// The data centre of the target.
     pub data_centre: DataCentre,
-    /// What stands on the VM.
+    /// What runs on the VM.
     pub kind: TargetKind,
 }
 
-/// One claim of an idempotency key.
+/// A claim of an idempotency key for one request.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Claim {
-    /// SHA-256 of the caller's name and key, lower-case hexadecimal.
+    /// The SHA-256 of the caller's name and the key, in lower-case hexadecimal.
     pub key: Box<str>,
-    /// The one request that may run for the key.
+    /// The only request that may run for the key.
     pub request: RequestId,
-    /// The only target that the request may be started at.
+    /// The only target at which the request may start.
     pub target: TargetName,
-    /// The incarnation of the target's agent that it may be started at.
+    /// The only incarnation of the target's agent at which the request may start.
     pub incarnation: FencingToken,
-    /// When it may be forgotten, in seconds since the epoch by the writer's clock.
+    /// When the claim may be removed, in seconds since the Unix epoch by the clock of the writer.
     pub expires_s: u64,
 }
 
-/// The value of one shard of claims.
+/// All claims of one shard, as stored in one object of the platform.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ClaimShard {
@@ -210,51 +212,53 @@
     pub claims: Vec<Claim>,
 }
 
-/// What a VM is for.
+/// The role of a VM.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum VmRole {
-    /// An entry, with the address for links.
+    /// The VM of an entry.
     Entry {
-        /// The entry's name.
+        /// The name of the entry.
         name: EntryName,
-        /// IP and port for links.
+        /// The address at which the entry accepts links.
         link: SocketAddr,
     },
-    /// A target's VM.
+    /// The VM of a target.
     Target {
-        /// The target's name.
+        /// The name of the target.
         name: TargetName,
     },
 }
 
-/// Whether a VM stays.
+/// Whether a VM is about to be removed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum VmState {
-    /// In service.
+    /// The VM is in service.
     Live,
-    /// Will be taken away soon.
+    /// The VM will be removed soon.
     Leaving,
 }
 
-/// One line of the platform's lagging list of VMs. A VM that is gone has no line.
+/// An entry in the platform's list of VMs, which lags behind the actual state. A removed VM has no
+/// entry.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Vm {
-    /// What it is for.
+    /// The role of the VM.
     pub role: VmRole,
-    /// The VM's data centre.
+    /// The data centre of the VM.
     pub data_centre: DataCentre,
-    /// Whether it stays.
+    /// Whether the VM is about to be removed.
     pub state: VmState,
 }
 
-/// Everything an entry knows of the platform's objects, for a peer that starts in an outage.
+/// All objects of the platform that an entry knows, for a peer that starts during an outage of the
+/// platform.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct Snapshot {
-    /// The revision that it is complete up to.
+    /// The revision up to which the snapshot is complete.
     pub revision: u64,
-    /// Manifest, chunks, grants, incarnations and VMs.
+    /// The manifest, chunks, grants, incarnations and VMs.
     pub objects: Vec<Object>,
 }
--- a/crates/stair-platform/tests/apply.rs
+++ b/crates/stair-platform/tests/apply.rs
@@ -1,4 +1,4 @@
-//! Applying a catalogue over a store that fails.
+//! An apply stays atomic and reports its outcome correctly although calls to the store fail.
 
 use std::time::Duration;
 
@@ -83,8 +83,8 @@
     assert_eq!(manifest.earlier, [ApplyId("a".into())]);
 }
 
-// Two operators make their changes from the same version. The second one is told so and nothing
-// of his is in force, instead of undoing the first one's change unseen.
+// Two operators make changes from the same version. The second one gets a conflict; otherwise his
+// apply would silently revert the change of the first one.
 #[tokio::test(start_paused = true)]
 async fn operators_race() {
     let store = with_first().await;
@@ -102,12 +102,13 @@
 }
 
 // Two operators commit at the same moment: the second one reads version 1, and the commit of the
-// first lands before the second one's. Exactly one of them wins and the other is told.
+// first one takes effect before that of the second. Exactly one succeeds and the other gets a
+// conflict.
 #[tokio::test(start_paused = true)]
 async fn commits_race() {
     let store = with_first().await;
-    // The first one's commit lands after two further calls: the first one's look at what became
-    // of it, and the second one's reading of version 1.
+    // The first commit takes effect after two further calls: the first operator's read of its
+    // outcome and the second operator's read of version 1.
     store.fail_write(Kind::Manifest, Fault::Late(2));
     let (first, second) = (catalogue(2), catalogue(3));
     let (first_opts, second_opts) = (opts("b"), opts("c"));
@@ -124,8 +125,8 @@
     assert_eq!(in_force(&store).await, (2, 2));
 }
 
-// The platform commits and its answer is lost. The operator reads that his apply is in force, and
-// not that it failed.
+// The commit takes effect and its reply is lost. The operator must not get a failure although the
+// apply is in force.
 #[tokio::test(start_paused = true)]
 async fn reply_lost() {
     let store = with_first().await;
@@ -135,8 +136,8 @@
     assert_eq!(store.puts(Kind::Manifest), 2);
 }
 
-// The answer is lost before the commit has taken effect, and it takes effect a moment later. The
-// operator's command waits for it and does not write a second time.
+// The reply is lost before the commit takes effect a moment later. The apply waits for the effect
+// and does not write again.
 #[tokio::test(start_paused = true)]
 async fn late_effect() {
     let store = with_first().await;
@@ -145,8 +146,8 @@
     assert_eq!(store.puts(Kind::Manifest), 2);
 }
 
-// The commit is lost on its way for good. Nobody can tell that from a commit that is slow, so the
-// operator reads that it is undetermined; his next try succeeds.
+// The commit is lost in transit. It cannot be distinguished from a slow commit, so the outcome is
+// undetermined; the next apply succeeds.
 #[tokio::test(start_paused = true)]
 async fn commit_lost() {
     let store = with_first().await;
@@ -157,8 +158,8 @@
     assert_eq!(apply(&store, &catalogue(2), &opts("c")).await, applied(2));
 }
 
-// The answer to a commit is lost, and before the operator's command reads the manifest again
-// another operator has applied on top of it. The first one's apply was in force all the same.
+// The reply to a commit is lost, and another apply follows before the manifest is read again. The
+// first apply was in force and must not be reported as a conflict.
 #[tokio::test(start_paused = true)]
 async fn reply_lost_then_followed() {
     let store = with_first().await;
@@ -167,7 +168,8 @@
     let (catalogue_b, opts_b) = (catalogue(2), opts("b"));
     let lost = apply(&store, &catalogue_b, &opts_b);
     let follow = async {
-        // Waits until the first commit is there, whose sender is waiting to read.
+        // Waits until the first commit has taken effect, while its sender waits to read the
+        // manifest.
         while head(&store).await.unwrap().unwrap().manifest.version.0 < 2 {
             tokio::task::yield_now().await;
         }
@@ -178,8 +180,8 @@
     assert_eq!(follow, applied(3));
 }
 
-// Answers to writes of chunks are lost and the platform refuses some; the apply succeeds after
-// further tries and the operator notices only that it takes longer.
+// Replies to writes of chunks are lost and the platform refuses some writes. The apply retries them
+// and succeeds.
 #[tokio::test(start_paused = true)]
 async fn chunk_writes_fail() {
     let store = MemoryStore::default();
@@ -191,7 +193,7 @@
     assert_eq!(in_force(&store).await, (1, 1));
 }
 
-// The platform is down for longer than the operator waits. He reads that nothing was written.
+// The platform is down for longer than the operator waits. The apply fails and nothing is written.
 #[tokio::test(start_paused = true)]
 async fn long_outage() {
     let store = with_first().await;
@@ -205,8 +207,8 @@
     assert_eq!(in_force(&store).await, (1, 1));
 }
 
-// The platform comes back just before the operator's patience ends, and then loses the answer to
-// the commit. The operator still learns that the commit took effect a few seconds later.
+// The platform recovers just before the operator's patience ends and loses the reply to the commit,
+// which takes effect a few seconds later. The apply must still wait for that outcome.
 #[tokio::test(start_paused = true)]
 async fn late_commit() {
     let store = with_first().await;
--- a/crates/stair-platform/tests/http_store.rs
+++ b/crates/stair-platform/tests/http_store.rs
@@ -1,4 +1,4 @@
-//! The HTTP store against the platform's stand-in.
+//! The HTTP store against the stand-in of the platform.
 
 use std::{
     net::{
@@ -87,8 +87,8 @@
     assert_eq!(gone, Err(Error::NotFound));
 }
 
-/// The connection breaks between a write's effect and its answer. A caller that took this for a
-/// refusal would write twice or forget what it has granted.
+/// The connection breaks between the effect of a write and its reply. A caller that took this for a
+/// refusal would write twice or lose track of a grant.
 #[tokio::test]
 async fn lost_reply() {
     let (platform, store) = start(LONG).await;
@@ -104,8 +104,8 @@
     assert_eq!(store.calls().failed, 2);
 }
 
-/// The platform takes a write and falls silent, and the answer would come long after the caller
-/// has stopped waiting. It must not be read as the answer to the next call.
+/// The platform carries out a write and delays its reply beyond the timeout of the caller. The late
+/// reply must not be taken for the reply to the next call.
 #[tokio::test]
 async fn delayed_reply() {
     let (platform, store) = start(SHORT).await;
@@ -155,8 +155,8 @@
     assert_eq!(page.expect("a page").events.len(), 1);
 }
 
-/// The platform refuses connections or answers 503. Callers may say for certain that nothing was
-/// written, and work again as soon as it is back.
+/// The platform refuses connections or replies with 503. Calls report that nothing was written,
+/// and succeed as soon as the platform has recovered.
 #[tokio::test]
 async fn outage_unavailable() {
     let (platform, store) = start(LONG).await;
@@ -175,7 +175,7 @@
     }
 }
 
-/// Connections open and nothing comes back. The caller notices by its timeout alone.
+/// Connections open but no reply arrives. Only the timeout of the call detects this.
 #[tokio::test]
 async fn black_hole() {
     let (platform, store) = start(SHORT).await;
@@ -206,8 +206,8 @@
     assert_eq!(platform.calls().of(Call::Put), 0);
 }
 
-// The platform accepts calls and answers none. A process whose callers keep coming would pile up
-// calls, and the platform would have all of them to work off when it is back.
+// The platform accepts calls and sends no reply. Without a limit, a process would accumulate
+// calls, and the platform would have to handle all of them after it has recovered.
 #[tokio::test]
 async fn bounded_calls() {
     const CALLS: usize = 40;
@@ -232,8 +232,7 @@
 
     let results = puts.join_all().await;
 
-    // A call that had no turn in its time was surely not sent; one that was sent may have been
-    // written.
+    // A call that got no slot in time was not sent; a call that was sent may have taken effect.
     let sent = platform.calls().of(Call::Put);
     let unknown = results
         .iter()
--- a/crates/stair-platform/tests/random_replies.rs
+++ b/crates/stair-platform/tests/random_replies.rs
@@ -1,4 +1,4 @@
-//! Whatever the platform answers, a call ends with a value or an error.
+//! A call returns a value or an error for any reply of the platform, and never panics or hangs.
 
 use std::{
     net::SocketAddr,
@@ -33,7 +33,7 @@
     net::TcpListener,
 };
 
-/// Answers one call with these bytes and closes the connection.
+/// Replies to each call with these bytes and closes the connection.
 async fn platform(bytes: Vec<u8>) -> SocketAddr {
     let any_port: SocketAddr = ([127, 0, 0, 1], 0).into();
     let listener = TcpListener::bind(any_port).await.expect("a free port");
