--- a/crates/stair-platform/src/http.rs
+++ b/crates/stair-platform/src/http.rs
@@ -1,7 +1,8 @@
 //! The platform's object API over HTTP.
 //!
-//! The mapping stands at [`crate::types`]. A write whose answer is lost, late or unreadable may
-//! have taken effect and is [`Error::Unknown`]; the same on a read is [`Error::Unavailable`].
+//! [`crate::types`] describes the mapping. If the reply to a write is lost or late, or a
+//! successful one does not decode, the write may have taken effect and the call returns
+//! [`Error::Unknown`]. A read whose reply is lost or late returns [`Error::Unavailable`].
 
 use std::{
     net::SocketAddr,
@@ -52,15 +53,16 @@
     },
 };
 
-/// Bounds of the calls.
+/// Limits of the calls.
 #[derive(Debug, Clone, Copy)]
 pub struct Options {
-    /// Time for a whole call; a watch has its wait in addition.
+    /// The timeout of a whole call. A watch may take this long in addition to its wait.
     pub call_timeout: Duration,
-    /// Bytes of an answer, that is, of a whole list.
+    /// The maximum size of a reply, in bytes. It has to suffice for a whole list.
     pub max_answer_bytes: usize,
-    /// Calls at once, waiting watches among them; further ones wait within their own time. When
-    /// the platform is slow, a process would otherwise pile up calls without end and keep it slow.
+    /// The maximum number of concurrent calls, waiting watches included. Further calls wait for a
+    /// slot within their own timeout. Without this limit, calls would accumulate while the platform
+    /// is slow and would keep it slow.
     pub max_calls: usize,
 }
 
@@ -74,13 +76,13 @@
     }
 }
 
-/// Calls made since the start, by kind, with those that failed among them. A conflict, a missing
-/// object and a watch position that is too old are answers, not failures.
+/// Numbers of calls since the start of the process, by operation, and of failures. A conflict, a
+/// missing object and a watch position that is too old don't count as failures.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize)]
 pub struct Calls {
-    /// Reads of one object.
+    /// Reads of a single object.
     pub get: u64,
-    /// Reads of a whole kind.
+    /// Lists of all objects of a kind.
     pub list: u64,
     /// Writes.
     pub put: u64,
@@ -88,7 +90,7 @@
     pub delete: u64,
     /// Watches.
     pub watch: u64,
-    /// Calls that ended in `Unavailable`, `Unknown` or `Invalid`.
+    /// Calls that returned `Unavailable`, `Unknown` or `Invalid`.
     pub failed: u64,
 }
 
@@ -102,7 +104,7 @@
     failed: AtomicU64,
 }
 
-/// The platform at one address. Cloning shares connections and counts.
+/// The platform's object API at one address. Clones share connections, slots and counters.
 #[derive(Clone)]
 pub struct HttpStore {
     client: client::Client,
@@ -125,15 +127,16 @@
 struct Call {
     req: Request<Full<Bytes>>,
     effect: Effect,
-    time: Duration,
+    timeout: Duration,
 }
 
 impl HttpStore {
-    /// Makes a store; it opens no connection yet.
+    /// Creates a store without connecting.
     pub fn new(addr: SocketAddr, opts: Options) -> Self {
         let defaults = client::Options::default();
         let client_opts = client::Options {
-            // Has to pass first, so that a call that was never sent is known as such.
+            // Shorter than the timeout of a call, so that a call that was never sent is reported as
+            // such.
             connect_timeout: defaults.connect_timeout.min(opts.call_timeout / 2),
             ..defaults
         };
@@ -145,7 +148,7 @@
         }
     }
 
-    /// Returns the calls made so far.
+    /// Returns the numbers of calls since the start of the process.
     pub fn calls(&self) -> Calls {
         let read = |counter: &AtomicU64| counter.load(Ordering::Relaxed);
         Calls {
@@ -163,7 +166,7 @@
         T: DeserializeOwned,
     {
         let result = match call {
-            Ok(call) => self.in_turn(counter, call).await,
+            Ok(call) => self.in_slot(counter, call).await,
             Err(e) => Err(e),
         };
         if let Err(Error::Unavailable(_) | Error::Unknown(_) | Error::Invalid(_)) = result {
@@ -172,37 +175,37 @@
         result
     }
 
-    async fn in_turn<T>(&self, counter: &AtomicU64, call: Call) -> Result<T, Error>
+    async fn in_slot<T>(&self, counter: &AtomicU64, call: Call) -> Result<T, Error>
     where
         T: DeserializeOwned,
     {
-        let slot = timeout(call.time, self.slots.acquire()).await;
+        let slot = timeout(call.timeout, self.slots.acquire()).await;
         let Ok(Ok(_slot)) = slot else {
-            // Nothing was sent, so a write has surely had no effect.
-            return Err(Error::Unavailable("too many calls wait".into()));
+            // The call was not sent, so a write had no effect.
+            return Err(Error::Unavailable("no slot was free in time".into()));
         };
         counter.fetch_add(1, Ordering::Relaxed);
-        self.answer(call).await
+        self.send(call).await
     }
 
-    async fn answer<T>(&self, call: Call) -> Result<T, Error>
+    async fn send<T>(&self, call: Call) -> Result<T, Error>
     where
         T: DeserializeOwned,
     {
-        let exchange = self.exchange(call.req, call.time);
-        let (status, body) = match timeout(call.time, exchange).await {
-            Ok(Ok(answer)) => answer,
+        let exchange = self.exchange(call.req, call.timeout);
+        let (status, body) = match timeout(call.timeout, exchange).await {
+            Ok(Ok(reply)) => reply,
             Ok(Err(e)) if e.verdict() == Verdict::NotRun => {
                 return Err(Error::Unavailable(e.to_string().into()));
             }
-            Ok(Err(e)) => return Err(lost(call.effect, &e.to_string())),
-            Err(_) => return Err(lost(call.effect, "no answer in time")),
+            Ok(Err(e)) => return Err(lost_reply(call.effect, &e.to_string())),
+            Err(_) => return Err(lost_reply(call.effect, "no reply in time")),
         };
         if status != StatusCode::OK {
-            return Err(refused(call.effect, status));
+            return Err(status_error(call.effect, status));
         }
         serde_json::from_slice(&body).map_err(|e| match call.effect {
-            // The write was accepted, but its version is not known.
+            // The write was accepted, but its version is unknown.
             Effect::Write => Error::Unknown(e.to_string().into()),
             Effect::Read => Error::Invalid(e.to_string().into()),
         })
@@ -211,11 +214,11 @@
     async fn exchange(
         &self,
         req: Request<Full<Bytes>>,
-        time: Duration,
+        timeout: Duration,
     ) -> Result<(StatusCode, Bytes), client::Error> {
-        let answer = self.client.send(req, time).await?;
-        let status = answer.head.status;
-        let body = answer.collect(self.opts.max_answer_bytes, time).await?;
+        let reply = self.client.send(req, timeout).await?;
+        let status = reply.head.status;
+        let body = reply.collect(self.opts.max_answer_bytes, timeout).await?;
         Ok((status, body))
     }
 
@@ -224,7 +227,7 @@
         Ok(Call {
             req,
             effect: Effect::Read,
-            time: self.opts.call_timeout,
+            timeout: self.opts.call_timeout,
         })
     }
 
@@ -246,7 +249,7 @@
         Ok(Call {
             req,
             effect: Effect::Write,
-            time: self.opts.call_timeout,
+            timeout: self.opts.call_timeout,
         })
     }
 }
@@ -289,7 +292,7 @@
         let wait_ms = wait.as_millis();
         let path = format!("/watch?kinds={kinds}&since={since}&timeout_ms={wait_ms}");
         let call = self.read(path).map(|call| Call {
-            time: wait + call.time,
+            timeout: wait + call.timeout,
             ..call
         });
         self.call(&self.counters.watch, call).await
@@ -300,7 +303,7 @@
     let plain = |b: u8| b.is_ascii_alphanumeric() || matches!(b, b'.' | b'_' | b'-');
     if name.is_empty() || !name.bytes().all(plain) {
         return Err(Error::Invalid(
-            format!("not an object's name: {name:?}").into(),
+            format!("not a valid object name: {name:?}").into(),
         ));
     }
     Ok(format!("/objects/{}/{name}", kind.as_str()))
@@ -317,20 +320,20 @@
     Error::Invalid(e.to_string().into())
 }
 
-fn lost(effect: Effect, text: &str) -> Error {
+fn lost_reply(effect: Effect, text: &str) -> Error {
     match effect {
         Effect::Read => Error::Unavailable(text.into()),
         Effect::Write => Error::Unknown(text.into()),
     }
 }
 
-fn refused(effect: Effect, status: StatusCode) -> Error {
+fn status_error(effect: Effect, status: StatusCode) -> Error {
     match status {
         StatusCode::CONFLICT => Error::Conflict,
         StatusCode::NOT_FOUND => Error::NotFound,
         StatusCode::GONE => Error::Gone,
-        StatusCode::SERVICE_UNAVAILABLE => Error::Unavailable("it answered 503".into()),
-        status if status.is_server_error() => lost(effect, status.as_str()),
-        status => Error::Invalid(format!("it answered {status}").into()),
+        StatusCode::SERVICE_UNAVAILABLE => Error::Unavailable("it replied with 503".into()),
+        status if status.is_server_error() => lost_reply(effect, status.as_str()),
+        status => Error::Invalid(format!("it replied with {status}").into()),
     }
 }
--- a/crates/stair-platform/tests/http_store.rs
+++ b/crates/stair-platform/tests/http_store.rs
@@ -1,4 +1,4 @@
-//! The HTTP store against the platform's stand-in.
+//! The HTTP store against the stand-in of the platform.
 
 use std::{
     net::{
@@ -56,10 +56,10 @@
     let first = put(&store, "0", json!(1)).await.expect("written");
     assert_eq!(put(&store, "0", json!(2)).await, Err(Error::Conflict));
 
-    let held = Condition::Version(first);
-    let update = store.put(Kind::Grants, "0", &json!(3), held).await;
+    let current = Condition::Version(first);
+    let update = store.put(Kind::Grants, "0", &json!(3), current).await;
     assert!(update.expect("written") > first);
-    let again = store.put(Kind::Grants, "0", &json!(4), held).await;
+    let again = store.put(Kind::Grants, "0", &json!(4), current).await;
     assert_eq!(again, Err(Error::Conflict));
 
     let object = store.get(Kind::Grants, "0").await.expect("there");
@@ -87,10 +87,10 @@
     assert_eq!(gone, Err(Error::NotFound));
 }
 
-/// The connection breaks between a write's effect and its answer. A caller that took this for a
-/// refusal would write twice or forget what it has granted.
+/// The connection breaks between the effect of a write and its reply. A caller that took this for a
+/// refusal would write twice or lose track of a grant.
 #[tokio::test]
-async fn lost_answer() {
+async fn lost_reply() {
     let (platform, store) = start(LONG).await;
     platform.faults().lose_answers(1, true);
     let lost = put(&store, "0", json!(1)).await;
@@ -104,14 +104,14 @@
     assert_eq!(store.calls().failed, 2);
 }
 
-/// The platform takes a write and falls silent, and the answer would come long after the caller
-/// has stopped waiting. It must not be read as the answer to the next call.
+/// The platform carries out a write and delays its reply beyond the timeout of the caller. The late
+/// reply must not be taken for the reply to the next call.
 #[tokio::test]
-async fn held_answer() {
+async fn delayed_reply() {
     let (platform, store) = start(SHORT).await;
     platform.faults().hold_answers(1, true);
-    let held = put(&store, "0", json!(1)).await;
-    assert!(matches!(held, Err(Error::Unknown(_))), "{held:?}");
+    let delayed = put(&store, "0", json!(1)).await;
+    assert!(matches!(delayed, Err(Error::Unknown(_))), "{delayed:?}");
     let object = store.get(Kind::Grants, "0").await.expect("there");
     assert_eq!(object.value, json!(1));
 }
@@ -155,8 +155,8 @@
     assert_eq!(page.expect("a page").events.len(), 1);
 }
 
-/// The platform refuses connections or answers 503. Callers may say for certain that nothing was
-/// written, and work again as soon as it is back.
+/// The platform refuses connections or replies with 503. Calls report that nothing was written,
+/// and succeed as soon as the platform has recovered.
 #[tokio::test]
 async fn outage_unavailable() {
     let (platform, store) = start(LONG).await;
@@ -175,7 +175,7 @@
     }
 }
 
-/// Connections open and nothing comes back. The caller notices by its timeout alone.
+/// Connections open but no reply arrives. Only the timeout of the call detects this.
 #[tokio::test]
 async fn black_hole() {
     let (platform, store) = start(SHORT).await;
@@ -206,42 +206,41 @@
     assert_eq!(platform.calls().of(Call::Put), 0);
 }
 
-// The platform accepts calls and answers none. A process whose callers keep coming would pile up
-// calls, and the platform would have all of them to work off when it is back.
+// The platform accepts calls and sends no reply. Without a limit, a process would accumulate
+// calls, and the platform would have to handle all of them after it has recovered.
 #[tokio::test]
 async fn bounded_calls() {
-    const MANY: usize = 40;
-    const AT_ONCE: usize = 4;
+    const CALLS: usize = 40;
+    const MAX_CALLS: usize = 4;
     let (platform, _) = start(LONG).await;
     let opts = Options {
         call_timeout: SHORT,
-        max_calls: AT_ONCE,
+        max_calls: MAX_CALLS,
         ..Options::default()
     };
     let store = HttpStore::new(platform.addr(), opts);
     let outage = platform.faults().set_outage(Outage::BlackHole).await;
     outage.expect("set");
     let mut puts = tokio::task::JoinSet::new();
-    for i in 0..MANY {
+    for i in 0..CALLS {
         let store = store.clone();
         puts.spawn(async move { put(&store, &i.to_string(), json!(i)).await });
     }
     platform
-        .until_calls(|c| c.of(Call::Put) == AT_ONCE as u64)
+        .until_calls(|c| c.of(Call::Put) == MAX_CALLS as u64)
         .await;
 
     let results = puts.join_all().await;
 
-    // A call that had no turn in its time was surely not sent; one that was sent may have been
-    // written.
+    // A call that got no slot in time was not sent; a call that was sent may have taken effect.
     let sent = platform.calls().of(Call::Put);
     let unknown = results
         .iter()
         .filter(|r| matches!(r, Err(Error::Unknown(_))));
-    assert!(unknown.count() as u64 >= AT_ONCE as u64);
+    assert!(unknown.count() as u64 >= MAX_CALLS as u64);
     let unsent = results
         .iter()
         .filter(|r| matches!(r, Err(Error::Unavailable(_))));
-    assert_eq!(unsent.count() as u64, MANY as u64 - sent);
-    assert!(sent <= 2 * AT_ONCE as u64, "{sent} calls were sent");
+    assert_eq!(unsent.count() as u64, CALLS as u64 - sent);
+    assert!(sent <= 2 * MAX_CALLS as u64, "{sent} calls were sent");
 }
--- a/crates/stair-platform/tests/random_answers.rs
+++ b/crates/stair-platform/tests/random_replies.rs
@@ -1,4 +1,4 @@
-//! Whatever the platform answers, a call ends with a value or an error.
+//! A call returns a value or an error for any reply of the platform, and never panics or hangs.
 
 use std::{
     net::SocketAddr,
@@ -33,7 +33,7 @@
     net::TcpListener,
 };
 
-/// Answers one call with these bytes and closes the connection.
+/// Replies to each call with these bytes and closes the connection.
 async fn platform(bytes: Vec<u8>) -> SocketAddr {
     let any_port: SocketAddr = ([127, 0, 0, 1], 0).into();
     let listener = TcpListener::bind(any_port).await.expect("a free port");
@@ -60,7 +60,7 @@
         .await;
 }
 
-fn answer() -> impl Strategy<Value = Vec<u8>> {
+fn http_reply() -> impl Strategy<Value = Vec<u8>> {
     let body = prop_oneof![
         "\\PC{0,80}",
         Just(r#"{"version":18446744073709551616}"#.to_owned()),
@@ -75,7 +75,7 @@
 }
 
 #[test]
-fn any_answer() {
+fn any_reply() {
     let config = ProptestConfig {
         cases: 100,
         failure_persistence: None,
@@ -84,7 +84,7 @@
     };
     let runtime = tokio::runtime::Runtime::new().expect("a runtime starts");
     TestRunner::new(config)
-        .run(&answer(), |bytes| {
+        .run(&http_reply(), |bytes| {
             runtime.block_on(call_all(bytes));
             Ok(())
         })
--- a/crates/stair-state/tests/grant_moves.rs
+++ b/crates/stair-state/tests/grant_moves.rs
@@ -1,4 +1,4 @@
-//! Grants move in two steps, and never add up to more than was decided.
+//! Grants move in two steps and never exceed the number of replicas.
 
 use proptest::prelude::*;
 use proptest_state_machine::{
@@ -24,9 +24,9 @@
     TargetName::try_from(&*format!("t{i}")).expect("a good name")
 }
 
-// The model is granted to a target again before the confirmation of its first grant arrives, which
-// a slow link had held back. If that confirmation ended the second grant, the model would be
-// granted elsewhere while the first target loads it: one replica too many.
+// A model is granted to the same target twice, and a slow link delivers the confirmation of the
+// first grant again during the second one. If that confirmation ended the second grant, the model
+// would be granted to another target while the first one loads it: one replica too many.
 #[test]
 fn late_confirmation() {
     let mut shard = GrantShard::default();
@@ -38,16 +38,16 @@
 
     assert!(
         !shard.confirm(first),
-        "an old confirmation ended a later grant"
+        "a stale confirmation ended a later grant"
     );
     assert_eq!(
         shard.grant(&model(0), &target(1), 1),
-        Err(GrantError::NoneLeft(1))
+        Err(GrantError::ReplicasExhausted(1))
     );
 }
 
-// A target that is told to give a model back may be paused with the model loaded. Until it
-// confirms, its grant counts.
+// A target whose grant is being revoked may be frozen with the model loaded. Its grant counts until
+// it confirms.
 #[test]
 fn revoking_counts() {
     let mut shard = GrantShard::default();
@@ -56,12 +56,12 @@
 
     let refused = shard.grant(&model(0), &target(1), 1);
 
-    assert_eq!(refused, Err(GrantError::NoneLeft(1)));
+    assert_eq!(refused, Err(GrantError::ReplicasExhausted(1)));
 }
 
-// A confirmation that comes although nothing was revoked is a fault of the agent; the grant stays.
+// A faulty agent confirms a grant that was not revoked; the grant stays.
 #[test]
-fn unasked_confirmation() {
+fn unsolicited_confirmation() {
     let mut shard = GrantShard::default();
     let id = shard.grant(&model(0), &target(0), 1).expect("is free");
 
@@ -71,24 +71,25 @@
 
 const REPLICAS: u16 = 2;
 
-/// What happens to one shard. Loads follow the target's last knowledge, which may be old.
+/// A step of the test. Loads follow the grants that the target last read, which may be stale.
 #[derive(Debug, Clone)]
 enum Step {
     Grant(u8, u8),
     Revoke(u8),
-    /// The target learns of its grants.
-    Learn(u8),
-    /// The target loads a model if it believes that it holds a grant.
+    /// The target reads its grants.
+    Update(u8),
+    /// The target loads a model if the grants that it last read allow it.
     Load(u8, u8),
-    /// The target gives back what it knows as revoked.
+    /// The target unloads the models of its revoking grants and confirms them.
     Release(u8),
-    /// A confirmation sent earlier arrives again.
+    /// An earlier confirmation arrives again.
     Replay(usize),
-    /// The VM is taken away, with all that it holds.
+    /// The VM of the target is removed with all its loaded models.
     Vanish(u8),
 }
 
-/// The oracle is a count of what the targets hold, so the reference only makes the steps.
+/// Generates the steps. The invariants count the grants and loaded models of the system under test,
+/// so the reference needs no state.
 #[derive(Debug, Clone, Default)]
 struct Steps;
 
@@ -109,7 +110,7 @@
         prop_oneof![
             (m.clone(), t.clone()).prop_map(|(m, t)| Step::Grant(m, t)),
             (0..20u8).prop_map(Step::Revoke),
-            t.clone().prop_map(Step::Learn),
+            t.clone().prop_map(Step::Update),
             (m, t.clone()).prop_map(|(m, t)| Step::Load(m, t)),
             t.clone().prop_map(Step::Release),
             (0..20usize).prop_map(Step::Replay),
@@ -127,8 +128,8 @@
 struct Agent {
     known: Vec<stair_state::Grant>,
     loaded: Vec<u8>,
-    /// Ids under which nothing is loaded any more.
-    given_back: Vec<GrantId>,
+    /// Ids of the grants that were confirmed as released.
+    released: Vec<GrantId>,
 }
 
 struct Deployment {
@@ -138,7 +139,7 @@
 }
 
 impl Deployment {
-    fn holders(&self, m: u8) -> usize {
+    fn loaded_replicas(&self, m: u8) -> usize {
         self.agents.iter().filter(|a| a.loaded.contains(&m)).count()
     }
 
@@ -147,7 +148,7 @@
         let may = agent
             .known
             .iter()
-            .any(|g| g.model == model(m) && !g.revoking && !agent.given_back.contains(&g.id));
+            .any(|g| g.model == model(m) && !g.revoking && !agent.released.contains(&g.id));
         if may && !agent.loaded.contains(&m) {
             agent.loaded.push(m);
         }
@@ -157,7 +158,7 @@
         let agent = &mut self.agents[usize::from(t)];
         for grant in agent.known.iter().filter(|g| g.revoking) {
             agent.loaded.retain(|m| model(*m) != grant.model);
-            agent.given_back.push(grant.id);
+            agent.released.push(grant.id);
             self.confirmations.push(grant.id);
             self.shard.confirm(grant.id);
         }
@@ -182,7 +183,7 @@
         match step {
             Step::Grant(m, t) => drop(d.shard.grant(&model(m), &target(t), REPLICAS)),
             Step::Revoke(id) => drop(d.shard.revoke(GrantId(id.into()))),
-            Step::Learn(t) => {
+            Step::Update(t) => {
                 d.agents[usize::from(t)].known = d.shard.of_target(&target(t)).cloned().collect();
             }
             Step::Load(m, t) => d.load(m, t),
@@ -204,8 +205,8 @@
         for m in 0..MODELS {
             let granted = d.shard.of_model(&model(m)).len();
             assert!(granted <= usize::from(REPLICAS), "{granted} grants of m{m}");
-            let held = d.holders(m);
-            assert!(held <= usize::from(REPLICAS), "{held} replicas of m{m}");
+            let loaded = d.loaded_replicas(m);
+            assert!(loaded <= usize::from(REPLICAS), "{loaded} replicas of m{m}");
         }
     }
 }
--- a/crates/stair-state/tests/ledger.rs
+++ b/crates/stair-state/tests/ledger.rs
@@ -1,4 +1,4 @@
-//! The ledger counts everything that an engine may hold.
+//! The ledger counts all memory that an engine may be using.
 
 use proptest::prelude::*;
 use stair_state::{
@@ -35,8 +35,8 @@
     ledger.end_load(item, Answer::Done);
 }
 
-// The engine takes its time to unload, and the agent wants the memory for another model at once.
-// The engine still holds the old one.
+// The engine unloads slowly and the agent requests the memory for another model at once. The memory
+// counts as used until the unload is confirmed.
 #[test]
 fn unloading_counts() {
     let mut ledger = Ledger::new(100, Vec::new());
@@ -45,23 +45,23 @@
 
     let refused = ledger.begin_load(base("b"), "1", 30);
 
-    assert_eq!(refused, Err(OrderError::NoRoom { missing_mib: 10 }));
+    assert_eq!(refused, Err(OrderError::NoCapacity { missing_mib: 10 }));
     ledger.end_unload(&base("a"), Answer::Done);
     assert_eq!(ledger.begin_load(base("b"), "1", 30), Ok(()));
 }
 
-// The answer to a load is lost. Whether the engine has loaded is unknown, so the memory is taken
-// until the engine's own list settles it.
+// The reply to a load is lost. Whether the engine has loaded the model is unknown, so its memory
+// stays reserved until the engine's list is reconciled.
 #[test]
 fn lost_load() {
     let mut ledger = Ledger::new(100, Vec::new());
     ledger.begin_load(base("a"), "1", 80).expect("has room");
     ledger.end_load(&base("a"), Answer::Lost);
 
-    assert!(ledger.in_doubt());
+    assert!(ledger.has_unconfirmed());
     let refused = ledger.begin_load(base("b"), "1", 30);
-    assert_eq!(refused, Err(OrderError::NoRoom { missing_mib: 10 }));
-    ledger.settle(Vec::new());
+    assert_eq!(refused, Err(OrderError::NoCapacity { missing_mib: 10 }));
+    ledger.reconcile(Vec::new());
     assert_eq!(ledger.begin_load(base("b"), "1", 30), Ok(()));
 }
 
@@ -78,12 +78,12 @@
     assert_eq!(unload, Err(OrderError::HasAdapters));
 }
 
-/// What the agent does, and how its order ends.
+/// An action of the agent and the result of its order.
 #[derive(Debug, Clone)]
 enum Step {
     Load(u8, u32, Answer),
     Unload(u8, Answer),
-    Settle,
+    Reconcile,
 }
 
 fn answers() -> impl Strategy<Value = Answer> {
@@ -98,19 +98,19 @@
     prop_oneof![
         3 => (0..6u8, 1..60u32, answers()).prop_map(|(i, m, a)| Step::Load(i, m, a)),
         3 => (0..6u8, answers()).prop_map(|(i, a)| Step::Unload(i, a)),
-        1 => Just(Step::Settle),
+        1 => Just(Step::Reconcile),
     ]
 }
 
-/// The engine's real memory; a lost answer means that the order took effect or not.
+/// The actual memory of the engine. An order whose reply is lost may or may not take effect.
 #[derive(Default)]
 struct Engine {
-    held: Vec<Entry>,
+    loaded: Vec<Entry>,
 }
 
 impl Engine {
     fn load(&mut self, item: Item, memory_mib: u32) {
-        self.held.push(Entry {
+        self.loaded.push(Entry {
             item,
             version: "1".into(),
             memory_mib,
@@ -119,7 +119,7 @@
     }
 
     fn taken(&self) -> u32 {
-        self.held.iter().map(|e| e.memory_mib).sum()
+        self.loaded.iter().map(|e| e.memory_mib).sum()
     }
 }
 
@@ -131,8 +131,8 @@
         ..ProptestConfig::default()
     })]
 
-    // Orders fail, and answers are lost after the order took effect or before. Whatever the agent
-    // believes, the engine must never hold more than it has.
+    // Orders fail, and replies are lost before or after the order takes effect. If the ledger freed
+    // memory too early, the engine would load more than its total memory.
     #[test]
     fn never_over(steps in prop::collection::vec(steps(), 1..80), took_effect in any::<bool>()) {
         let mut ledger = Ledger::new(100, Vec::new());
@@ -154,14 +154,14 @@
                     if ledger.begin_unload(&item).is_ok() {
                         let done = answer == Answer::Done;
                         if done || (answer == Answer::Lost && took_effect) {
-                            engine.held.retain(|e| e.item != item);
+                            engine.loaded.retain(|e| e.item != item);
                         }
                         ledger.end_unload(&item, answer);
                     }
                 }
-                Step::Settle => ledger.settle(engine.held.clone()),
+                Step::Reconcile => ledger.reconcile(engine.loaded.clone()),
             }
-            prop_assert!(engine.taken() <= 100, "the engine holds {}", engine.taken());
+            prop_assert!(engine.taken() <= 100, "the engine uses {} MiB", engine.taken());
             prop_assert!(ledger.taken_mib() >= engine.taken());
         }
     }
--- a/crates/stair-types/tests/fingerprint.rs
+++ b/crates/stair-types/tests/fingerprint.rs
@@ -1,4 +1,4 @@
-//! Which requests are taken for repeats of one another.
+//! Only requests with the same contents have the same fingerprint.
 
 use stair_types::fingerprint::Contents;
 
@@ -10,9 +10,9 @@
     body: b"prompt",
 };
 
-/// Two requests that differ in any part.
+/// If a field were left out of the fingerprint, different requests would pass for retries.
 #[test]
-fn every_part_counts() {
+fn every_field_counts() {
     let others = [
         Contents {
             workspace: Some("w2"),
@@ -45,9 +45,10 @@
     assert_eq!(REQUEST.fingerprint(), REQUEST.fingerprint());
 }
 
-/// A body of the same length has the same outline: only the fingerprint tells them apart.
+/// Requests with different bodies of the same length have the same outline and differ only in the
+/// fingerprint.
 #[test]
-fn outline_is_cheap() {
+fn outline_ignores_body_bytes() {
     let other = Contents {
         body: b"tpromp",
         ..REQUEST
@@ -56,9 +57,10 @@
     assert_eq!(REQUEST.fingerprint().outline(), REQUEST.outline());
 }
 
-/// Bytes that move from one part to the next make another request.
+/// If fields were hashed without their lengths, moving a byte from one field to the next would give
+/// the same hash.
 #[test]
-fn parts_do_not_run_together() {
+fn field_boundaries_count() {
     let one = Contents {
         host: b"ab",
         path: "c",
@@ -73,9 +75,9 @@
     assert_ne!(one.outline(), other.outline());
 }
 
-/// Neither the body nor the caller can be read in logs.
+/// The formatted fingerprint must not leak the body or the caller into logs.
 #[test]
-fn nothing_is_shown() {
+fn contents_not_logged() {
     let shown = format!("{} {0:?}", REQUEST.fingerprint());
     assert!(!shown.contains("w1") && !shown.contains("prompt"));
 }
