--- a/crates/stair-config/src/check.rs
+++ b/crates/stair-config/src/check.rs
@@ -67,7 +67,7 @@
 const METHODS: [&str; 7] = ["DELETE", "GET", "HEAD", "OPTIONS", "PATCH", "POST", "PUT"];
 
 /// An item and where it was declared.
-pub(crate) struct At<T> {
+pub(crate) struct Located<T> {
     pub(crate) place: Place,
     pub(crate) item: T,
 }
@@ -75,21 +75,21 @@
 /// Items that are right one by one.
 #[derive(Default)]
 pub(crate) struct Declared {
-    pub(crate) models: Vec<At<Model>>,
-    pub(crate) tiers: Vec<At<Tier>>,
-    pub(crate) callers: Vec<At<Caller>>,
-    pub(crate) services: Vec<At<Service>>,
+    pub(crate) models: Vec<Located<Model>>,
+    pub(crate) tiers: Vec<Located<Tier>>,
+    pub(crate) callers: Vec<Located<Caller>>,
+    pub(crate) services: Vec<Located<Service>>,
     pub(crate) policy: Policy,
 }
 
-fn each<'a, T, F>(
+fn check_items<'a, T, F>(
     problems: &mut Problems,
     parent: &Fields<'a>,
     list: &str,
     known: &[&str],
     id: &str,
     check: F,
-) -> Vec<At<T>>
+) -> Vec<Located<T>>
 where
     F: Fn(&mut Problems, &Fields<'a>) -> Option<T>,
 {
@@ -101,14 +101,14 @@
         };
         if let Some(item) = check(problems, &fields) {
             let place = fields.place(id);
-            all.push(At { place, item });
+            all.push(Located { place, item });
         }
     }
     all
 }
 
-pub(crate) fn models(problems: &mut Problems, top: &Fields<'_>) -> Vec<At<Model>> {
-    each(problems, top, "models", &MODEL_FIELDS, "name", model)
+pub(crate) fn models(problems: &mut Problems, top: &Fields<'_>) -> Vec<Located<Model>> {
+    check_items(problems, top, "models", &MODEL_FIELDS, "name", model)
 }
 
 fn model(problems: &mut Problems, fields: &Fields<'_>) -> Option<Model> {
@@ -117,7 +117,7 @@
     let memory_mib = fields.integer(problems, "memory_mib", 1..=MAX_MEMORY_MIB, None);
     let replicas = fields.integer(problems, "replicas", 1..=MAX_REPLICAS, None);
     let repeatable = fields.boolean(problems, "repeatable", Some(false));
-    let adapters = each(
+    let adapters = check_items(
         problems,
         fields,
         "adapters",
@@ -136,7 +136,7 @@
         memory_mib: memory_mib?,
         replicas: replicas?,
         repeatable: repeatable?,
-        adapters: sorted(problems, adapters, "adapter", |a| a.name.clone()),
+        adapters: sort_unique(problems, adapters, "adapter", |a| a.name.clone()),
     })
 }
 
@@ -151,8 +151,8 @@
     })
 }
 
-pub(crate) fn tiers(problems: &mut Problems, top: &Fields<'_>) -> Vec<At<Tier>> {
-    each(problems, top, "tiers", &TIER_FIELDS, "rank", tier)
+pub(crate) fn tiers(problems: &mut Problems, top: &Fields<'_>) -> Vec<Located<Tier>> {
+    check_items(problems, top, "tiers", &TIER_FIELDS, "rank", tier)
 }
 
 fn tier(problems: &mut Problems, fields: &Fields<'_>) -> Option<Tier> {
@@ -170,8 +170,8 @@
     })
 }
 
-pub(crate) fn callers(problems: &mut Problems, top: &Fields<'_>) -> Vec<At<Caller>> {
-    each(problems, top, "callers", &CALLER_FIELDS, "tier", caller)
+pub(crate) fn callers(problems: &mut Problems, top: &Fields<'_>) -> Vec<Located<Caller>> {
+    check_items(problems, top, "callers", &CALLER_FIELDS, "tier", caller)
 }
 
 fn caller(problems: &mut Problems, fields: &Fields<'_>) -> Option<Caller> {
@@ -185,19 +185,19 @@
     })
 }
 
-pub(crate) fn services(problems: &mut Problems, top: &Fields<'_>) -> Vec<At<Service>> {
-    each(problems, top, "services", &SERVICE_FIELDS, "name", service)
+pub(crate) fn services(problems: &mut Problems, top: &Fields<'_>) -> Vec<Located<Service>> {
+    check_items(problems, top, "services", &SERVICE_FIELDS, "name", service)
 }
 
 fn service(problems: &mut Problems, fields: &Fields<'_>) -> Option<Service> {
     let name = fields.name(problems, "name");
     let concurrency = fields.integer(problems, "concurrency", 1..=MAX_CONCURRENCY, None);
-    let routes = each(problems, fields, "routes", &ROUTE_FIELDS, "prefix", route);
+    let routes = check_items(problems, fields, "routes", &ROUTE_FIELDS, "prefix", route);
     let key = |r: &ServiceRoute| format!("{} {}", r.method, r.prefix);
     Some(Service {
         name: name?,
         concurrency: concurrency?,
-        routes: sorted(problems, routes, "route", key),
+        routes: sort_unique(problems, routes, "route", key),
     })
 }
 
@@ -293,20 +293,25 @@
 }
 
 /// Checks what no item can be checked for alone, and makes the sorted catalogue.
-pub(crate) fn together(problems: &mut Problems, all: Declared) -> Catalogue {
-    tiers_of_callers(problems, &all);
-    let tiers = ranked(problems, all.tiers);
-    one_name_each(problems, &all.callers);
+pub(crate) fn build_catalogue(problems: &mut Problems, all: Declared) -> Catalogue {
+    check_caller_tiers(problems, &all);
+    let tiers = sort_tiers(problems, all.tiers);
+    check_caller_names(problems, &all.callers);
     Catalogue {
-        models: sorted(problems, all.models, "model", |m| m.name.clone()),
+        models: sort_unique(problems, all.models, "model", |m| m.name.clone()),
         tiers,
-        callers: sorted(problems, all.callers, "key", |c| c.key_sha256.clone()),
-        services: sorted(problems, all.services, "service", |s| s.name.clone()),
+        callers: sort_unique(problems, all.callers, "key", |c| c.key_sha256.clone()),
+        services: sort_unique(problems, all.services, "service", |s| s.name.clone()),
         policy: all.policy,
     }
 }
 
-fn sorted<T, K, F>(problems: &mut Problems, mut all: Vec<At<T>>, what: &str, key: F) -> Vec<T>
+fn sort_unique<T, K, F>(
+    problems: &mut Problems,
+    mut all: Vec<Located<T>>,
+    what: &str,
+    key: F,
+) -> Vec<T>
 where
     F: Fn(&T) -> K,
     K: Ord,
@@ -323,8 +328,8 @@
     all.into_iter().map(|at| at.item).collect()
 }
 
-fn one_name_each(problems: &mut Problems, callers: &[At<Caller>]) {
-    let mut names: Vec<&At<Caller>> = callers.iter().collect();
+fn check_caller_names(problems: &mut Problems, callers: &[Located<Caller>]) {
+    let mut names: Vec<&Located<Caller>> = callers.iter().collect();
     names.sort_by_key(|at| &at.item.name);
     for pair in names.windows(2) {
         if pair[0].item.name == pair[1].item.name {
@@ -335,9 +340,9 @@
     }
 }
 
-fn tiers_of_callers(problems: &mut Problems, all: &Declared) {
+fn check_caller_tiers(problems: &mut Problems, all: &Declared) {
     let names: Vec<&str> = all.tiers.iter().map(|t| t.item.name.as_str()).collect();
-    for At { place, item } in &all.callers {
+    for Located { place, item } in &all.callers {
         if !names.contains(&item.tier.as_str()) {
             let allowed = format!("a declared tier: {}", names.join(", "));
             let found = format!("{:?}", item.tier.as_str());
@@ -346,7 +351,7 @@
     }
 }
 
-fn ranked(problems: &mut Problems, mut tiers: Vec<At<Tier>>) -> Vec<Tier> {
+fn sort_tiers(problems: &mut Problems, mut tiers: Vec<Located<Tier>>) -> Vec<Tier> {
     tiers.sort_by_key(|at| at.item.rank);
     let mut floors = 0;
     for (rank, at) in tiers.iter().enumerate() {
@@ -354,7 +359,7 @@
             let allowed = format!("{rank}: ranks are 0, 1, 2 and so on, each once");
             problems.add(at.place.clone(), at.item.rank, allowed);
         }
-        let same = |other: &&At<Tier>| other.item.name == at.item.name;
+        let same = |other: &&Located<Tier>| other.item.name == at.item.name;
         if let Some(first) = tiers[..rank].iter().find(same) {
             let found = format!(
                 "{:?} as at line {}",
--- a/crates/stair-config/src/chunks.rs
+++ b/crates/stair-config/src/chunks.rs
@@ -103,14 +103,14 @@
         policy: Some(catalogue.policy.clone()),
         ..Part::default()
     };
-    let mut chunks = vec![chunk(&shared)?];
+    let mut chunks = vec![encode(&shared)?];
     let models = buckets(&catalogue.models, MODEL_BUCKETS, |m| m.name.as_str());
     for models in models {
         let part = Part {
             models,
             ..Part::default()
         };
-        chunks.push(chunk(&part)?);
+        chunks.push(encode(&part)?);
     }
     let callers = buckets(&catalogue.callers, CALLER_BUCKETS, |c| c.name.as_str());
     for callers in callers {
@@ -118,7 +118,7 @@
             callers,
             ..Part::default()
         };
-        chunks.push(chunk(&part)?);
+        chunks.push(encode(&part)?);
     }
     Ok(chunks)
 }
@@ -135,7 +135,7 @@
     let mut all = Catalogue::default();
     let mut policy = None;
     for chunk in chunks {
-        let part = part(chunk)?;
+        let part = decode(chunk)?;
         all.models.extend(part.models);
         all.tiers.extend(part.tiers);
         all.callers.extend(part.callers);
@@ -151,11 +151,11 @@
     all.tiers.sort_by_key(|t| t.rank);
     all.callers.sort_by(|a, b| a.key_sha256.cmp(&b.key_sha256));
     all.services.sort_by(|a, b| a.name.cmp(&b.name));
-    rules(&all)?;
+    check_invariants(&all)?;
     Ok(all)
 }
 
-fn rules(all: &Catalogue) -> Result<(), Error> {
+fn check_invariants(all: &Catalogue) -> Result<(), Error> {
     if all.models.windows(2).any(|w| w[0].name == w[1].name) {
         return Err(Error::Inconsistent("a model"));
     }
@@ -194,7 +194,7 @@
     text.into()
 }
 
-fn chunk(part: &Part) -> Result<Chunk, Error> {
+fn encode(part: &Part) -> Result<Chunk, Error> {
     // All keys are texts and all numbers finite, so that the encoding does not fail.
     let value = serde_json::to_value(part).unwrap_or_default();
     let text = value.to_string();
@@ -207,7 +207,7 @@
     })
 }
 
-fn part(chunk: &Chunk) -> Result<Part, Error> {
+fn decode(chunk: &Chunk) -> Result<Part, Error> {
     let found = content_name(&chunk.value.to_string());
     if found != chunk.hash {
         return Err(Error::WrongHash {
--- a/crates/stair-config/src/declarations.rs
+++ b/crates/stair-config/src/declarations.rs
@@ -40,8 +40,8 @@
 
     fn try_from(declarations: Declarations) -> Result<Self, Problems> {
         let mut problems = Problems::default();
-        let catalogue = checked(&declarations, &mut problems);
-        problems.unless_any(Some(catalogue))
+        let catalogue = check_documents(&declarations, &mut problems);
+        problems.into_result(Some(catalogue))
     }
 }
 
@@ -55,12 +55,12 @@
     let files = match yaml_files(path) {
         Ok(files) => files,
         Err(e) => {
-            problems.add(whole(path), e, "a readable directory or file");
+            problems.add(whole_file(path), e, "a readable directory or file");
             return Err(problems);
         }
     };
     if files.is_empty() {
-        problems.add(whole(path), "no *.yaml file", "at least one");
+        problems.add(whole_file(path), "no *.yaml file", "at least one");
         return Err(problems);
     }
     let mut declarations = Declarations::default();
@@ -78,7 +78,7 @@
     Catalogue::try_from(declarations)
 }
 
-fn whole(path: &Path) -> Place {
+fn whole_file(path: &Path) -> Place {
     Place {
         file: path.display().to_string().into(),
         line: 0,
@@ -103,7 +103,7 @@
     Ok(files)
 }
 
-fn checked(declarations: &Declarations, problems: &mut Problems) -> Catalogue {
+fn check_documents(declarations: &Declarations, problems: &mut Problems) -> Catalogue {
     let mut all = check::Declared::default();
     let mut policy = None;
     for document in &declarations.documents {
@@ -127,5 +127,5 @@
         policy = Some(place);
         all.policy = check::policy(problems, &fields).unwrap_or_default();
     }
-    check::together(problems, all)
+    check::build_catalogue(problems, all)
 }
--- a/crates/stair-config/src/diff.rs
+++ b/crates/stair-config/src/diff.rs
@@ -226,11 +226,11 @@
         return;
     }
     let (Some(before), Some(after)) = (old, new) else {
-        fields.push(leaf(path, old, new));
+        fields.push(field_change(path, old, new));
         return;
     };
     if children(before).is_empty() && children(after).is_empty() {
-        fields.push(leaf(path, old, new));
+        fields.push(field_change(path, old, new));
         return;
     }
     let (old, new) = (children(before), children(after));
@@ -281,7 +281,7 @@
     }
 }
 
-fn leaf(path: &str, old: Option<&Value>, new: Option<&Value>) -> FieldChange {
+fn field_change(path: &str, old: Option<&Value>, new: Option<&Value>) -> FieldChange {
     let text = |v: &Value| v.to_string().into();
     FieldChange {
         field: path.into(),
--- a/crates/stair-config/src/fleet_settings.rs
+++ b/crates/stair-config/src/fleet_settings.rs
@@ -138,7 +138,7 @@
     fn try_from(document: &Document) -> Result<Self, Problems> {
         let mut problems = Problems::default();
         let settings = gateway_settings(&mut problems, document);
-        problems.unless_any(settings)
+        problems.into_result(settings)
     }
 }
 
@@ -148,7 +148,7 @@
     fn try_from(document: &Document) -> Result<Self, Problems> {
         let mut problems = Problems::default();
         let settings = sidecar_settings(&mut problems, document);
-        problems.unless_any(settings)
+        problems.into_result(settings)
     }
 }
 
--- a/crates/stair-config/src/problem.rs
+++ b/crates/stair-config/src/problem.rs
@@ -72,7 +72,7 @@
     /// # Errors
     ///
     /// All problems, sorted by place.
-    pub(crate) fn unless_any<T>(mut self, value: Option<T>) -> Result<T, Self> {
+    pub(crate) fn into_result<T>(mut self, value: Option<T>) -> Result<T, Self> {
         match value {
             Some(value) if self.is_empty() => Ok(value),
             _ => {
--- a/crates/stair-config/src/read_settings.rs
+++ b/crates/stair-config/src/read_settings.rs
@@ -100,7 +100,7 @@
     fn try_from(document: &Document) -> Result<Self, Problems> {
         let mut problems = Problems::default();
         let settings = entry_settings(&mut problems, document);
-        problems.unless_any(settings)
+        problems.into_result(settings)
     }
 }
 
@@ -110,7 +110,7 @@
     fn try_from(document: &Document) -> Result<Self, Problems> {
         let mut problems = Problems::default();
         let settings = agent_settings(&mut problems, document);
-        problems.unless_any(settings)
+        problems.into_result(settings)
     }
 }
 
@@ -131,7 +131,7 @@
         ("operator", operator),
         ("platform", platform),
     ];
-    distinct(problems, &fields, &tcp);
+    check_distinct(problems, &fields, &tcp);
     if let (Some(link), Some(peers)) = (link, &peers)
         && peers.contains(&link)
     {
@@ -171,13 +171,13 @@
     let tls = tls(problems, &fields);
     let limits = agent_limits(problems, &fields);
     let telemetry = telemetry(problems, &fields);
-    let beside = target.as_ref().map(TargetSettings::address);
+    let target_address = target.as_ref().map(TargetSettings::address);
     let tcp = [
         ("operator", operator),
         ("platform", platform),
-        ("target", beside),
+        ("target", target_address),
     ];
-    distinct(problems, &fields, &tcp);
+    check_distinct(problems, &fields, &tcp);
     // The agent publishes this address: entries would connect to their own VM and find nobody.
     if link.is_some_and(|link| link.ip().is_unspecified()) {
         let allowed = "an IP address that entries reach";
@@ -198,11 +198,11 @@
 }
 
 /// A TCP address and the field that it comes from.
-type Named = (&'static str, Option<SocketAddr>);
+type NamedAddress = (&'static str, Option<SocketAddr>);
 
 // Of two listeners at one address the second cannot bind, and a process that took its own listener
 // for the platform or its target would wait for itself.
-fn distinct(problems: &mut Problems, fields: &Fields<'_>, all: &[Named]) {
+fn check_distinct(problems: &mut Problems, fields: &Fields<'_>, all: &[NamedAddress]) {
     for (i, (name, addr)) in all.iter().enumerate() {
         let Some(addr) = addr.filter(|a| a.port() != 0) else {
             continue;
--- a/crates/stair-config/tests/chunks.rs
+++ b/crates/stair-config/tests/chunks.rs
@@ -19,7 +19,7 @@
     declarations::read(&path).unwrap()
 }
 
-fn not_in<'a>(chunks: &'a [Chunk], others: &[Chunk]) -> Vec<&'a Chunk> {
+fn missing_from<'a>(chunks: &'a [Chunk], others: &[Chunk]) -> Vec<&'a Chunk> {
     let new = |c: &&Chunk| others.iter().all(|o| o.hash != c.hash);
     chunks.iter().filter(new).collect()
 }
@@ -39,8 +39,8 @@
     let mut after = before.clone();
     after.models[3].replicas += 1;
     let (old, new) = (split(&before).unwrap(), split(&after).unwrap());
-    assert_eq!(not_in(&new, &old).len(), 1);
-    assert_eq!(not_in(&old, &new).len(), 1);
+    assert_eq!(missing_from(&new, &old).len(), 1);
+    assert_eq!(missing_from(&old, &new).len(), 1);
 }
 
 #[test]
@@ -93,8 +93,8 @@
     let before = catalogue();
     assert!(Diff::between(&before, &before).is_empty());
     let mut after = before.clone();
-    let gone = after.models.remove(0);
-    let mut added = gone.clone();
+    let removed = after.models.remove(0);
+    let mut added = removed.clone();
     added.name = "zz-new".try_into().unwrap();
     after.models.push(added);
     let changed = after.models.iter_mut().find(|m| m.adapters.len() > 2);
