--- a/crates/dandelionstair/src/agent.rs
+++ b/crates/dandelionstair/src/agent.rs
@@ -26,7 +26,7 @@
             agent = Agent::start(settings, keys, store) => agent?,
             _ = stop.wait_for(|s| *s) => return Ok(ExitCode::SUCCESS),
         };
-        process::say_ready(&json!({
+        process::print_ready(&json!({
             "link": agent.link_addr(),
             "operator": agent.operator_addr(),
             "incarnation": agent.incarnation(),
--- a/crates/dandelionstair/src/apply.rs
+++ b/crates/dandelionstair/src/apply.rs
@@ -30,7 +30,7 @@
     exit,
     operator::{
         self,
-        PAUSE, //
+        POLL_INTERVAL, //
     },
     platform, //
 };
@@ -57,7 +57,7 @@
     let opts = Options {
         apply_id: ApplyId(format!("{:032x}", rand::random::<u128>()).into()),
         from: from.copied().map(ConfigVersion),
-        patience: operator::patience(matches)?,
+        patience: operator::timeout(matches)?,
     };
     let deadline = operator::deadline(matches)?;
     let version = match report(apply(store, declared, &opts).await?) {
@@ -69,7 +69,7 @@
     }
     let entries = matches.get_many::<SocketAddr>("entry");
     let entries: Vec<SocketAddr> = entries.context("--entry is missing")?.copied().collect();
-    Ok(wait(&entries, version, deadline).await)
+    Ok(wait_for_entries(&entries, version, deadline).await)
 }
 
 // Tells the operator the outcome; an exit code ends the command.
@@ -100,21 +100,25 @@
     }
 }
 
-async fn wait(entries: &[SocketAddr], version: ConfigVersion, deadline: Instant) -> ExitCode {
+async fn wait_for_entries(
+    entries: &[SocketAddr],
+    version: ConfigVersion,
+    deadline: Instant,
+) -> ExitCode {
     let mut shown = String::new();
     loop {
-        let mut behind = Vec::new();
+        let mut lagging = Vec::new();
         for addr in entries {
-            behind.extend(lag(*addr, version).await);
+            lagging.extend(lag(*addr, version).await);
         }
-        if behind.is_empty() {
+        if lagging.is_empty() {
             println!(
                 "Version {version} is in force at all {} entries.",
                 entries.len()
             );
             return ExitCode::SUCCESS;
         }
-        let text = behind.join("; ");
+        let text = lagging.join("; ");
         if text != shown {
             eprintln!("waiting: {text}");
             shown = text;
@@ -123,7 +127,7 @@
             eprintln!("version {version} is applied, but was not in force everywhere in time");
             return exit::NOT_IN_TIME.into();
         }
-        sleep(PAUSE).await;
+        sleep(POLL_INTERVAL).await;
     }
 }
 
--- a/crates/dandelionstair/src/dev.rs
+++ b/crates/dandelionstair/src/dev.rs
@@ -35,7 +35,7 @@
             started = Deployment::start(opts) => started?,
             _ = stop.wait_for(|s| *s) => return Ok(ExitCode::SUCCESS),
         };
-        introduce(&deployment);
+        print_addresses(&deployment);
         // The sender ends only after it has turned the value.
         let _ = stop.wait_for(|s| *s).await;
         eprintln!("stopping");
@@ -44,7 +44,7 @@
     })
 }
 
-fn introduce(deployment: &Deployment) {
+fn print_addresses(deployment: &Deployment) {
     for entry in &deployment.entries {
         let addresses = entry.addresses();
         println!(
--- a/crates/dandelionstair/src/drain.rs
+++ b/crates/dandelionstair/src/drain.rs
@@ -21,7 +21,7 @@
     exit,
     operator::{
         self,
-        PAUSE, //
+        POLL_INTERVAL, //
     }, //
 };
 
@@ -51,7 +51,7 @@
     loop {
         match timeout_at(deadline, TcpStream::connect(addr)).await {
             Ok(Err(e)) if e.kind() == ErrorKind::ConnectionRefused => return true,
-            Ok(_) if Instant::now() < deadline => sleep(PAUSE).await,
+            Ok(_) if Instant::now() < deadline => sleep(POLL_INTERVAL).await,
             _ => return false,
         }
     }
--- a/crates/dandelionstair/src/entry.rs
+++ b/crates/dandelionstair/src/entry.rs
@@ -23,7 +23,7 @@
         let mut stop = process::stop_signal()?;
         let entry = Entry::start(settings, keys, store).await?;
         let addresses = entry.addresses();
-        process::say_ready(&json!({
+        process::print_ready(&json!({
             "listen": addresses.listen,
             "link": addresses.link,
             "operator": addresses.operator,
--- a/crates/dandelionstair/src/explain.rs
+++ b/crates/dandelionstair/src/explain.rs
@@ -24,7 +24,7 @@
     ) else {
         return Ok(exit::USAGE.into());
     };
-    let texts: Vec<String> = files.map(|f| read(f)).collect::<Result<_, _>>()?;
+    let texts: Vec<String> = files.map(|f| read_log(f)).collect::<Result<_, _>>()?;
     let lines: Vec<&str> = texts.iter().flat_map(|t| t.lines()).collect();
     let steps = story(lines.iter().copied(), id);
     let Some(first) = steps.first() else {
@@ -32,18 +32,18 @@
         return Ok(exit::FAILED.into());
     };
     for step in &steps {
-        println!("{}", line(first, step));
+        println!("{}", format_step(first, step));
     }
     Ok(ExitCode::SUCCESS)
 }
 
-pub(crate) fn read(path: &Path) -> anyhow::Result<String> {
+pub(crate) fn read_log(path: &Path) -> anyhow::Result<String> {
     let bytes = std::fs::read(path).with_context(|| format!("cannot read {}", path.display()))?;
     // A line that was cut by a kill need not be text; the others are.
     Ok(String::from_utf8_lossy(&bytes).into_owned())
 }
 
-fn line(first: &Step, step: &Step) -> String {
+fn format_step(first: &Step, step: &Step) -> String {
     let ms = (step.at - first.at) * 1000.0;
     let fields = step.fields.join(" ");
     format!(
--- a/crates/dandelionstair/src/losses.rs
+++ b/crates/dandelionstair/src/losses.rs
@@ -13,21 +13,21 @@
 
 use crate::{
     exit,
-    explain::read, //
+    explain::read_log, //
 };
 
 pub(crate) fn run(matches: &ArgMatches) -> anyhow::Result<ExitCode> {
     let Some(files) = matches.get_many::<PathBuf>("files") else {
         return Ok(exit::USAGE.into());
     };
-    let texts: Vec<String> = files.map(|f| read(f)).collect::<Result<_, _>>()?;
+    let texts: Vec<String> = files.map(|f| read_log(f)).collect::<Result<_, _>>()?;
     let mut rows = count(texts.iter().flat_map(|t| t.lines()));
     if rows.is_empty() {
         eprintln!("no line of these files is about a request");
         return Ok(exit::FAILED.into());
     }
     if !matches.get_flag("models") {
-        rows = without_models(rows);
+        rows = sum_models(rows);
     }
     println!("{:>7}  {:<16} {:<16} end", "count", "route", "model");
     for row in &rows {
@@ -40,7 +40,7 @@
 }
 
 /// Adds up the models of a route.
-fn without_models(mut rows: Vec<Row>) -> Vec<Row> {
+fn sum_models(mut rows: Vec<Row>) -> Vec<Row> {
     rows.sort_by(|a, b| (&a.route, &a.end).cmp(&(&b.route, &b.end)));
     rows.chunk_by(|a, b| a.route == b.route && a.end == b.end)
         .map(|same| Row {
--- a/crates/dandelionstair/src/operator.rs
+++ b/crates/dandelionstair/src/operator.rs
@@ -31,13 +31,13 @@
 };
 
 /// Longer than the listener itself waits for its process.
-const ANSWER_TIMEOUT: Duration = Duration::from_secs(10);
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// A dump of a process with all models and adapters has a few megabytes.
-const MAX_ANSWER_BYTES: usize = 256 << 20;
+const MAX_RESPONSE_BYTES: usize = 256 << 20;
 
 /// Pause between two looks at a process.
-pub(crate) const PAUSE: Duration = Duration::from_millis(250);
+pub(crate) const POLL_INTERVAL: Duration = Duration::from_millis(250);
 
 /// What `GET /status` answers, as far as commands need it.
 #[derive(Debug, Clone, PartialEq, Eq, Deserialize)]
@@ -65,11 +65,11 @@
 
 /// Returns the instant at which `--timeout` has passed.
 pub(crate) fn deadline(matches: &ArgMatches) -> anyhow::Result<Instant> {
-    Ok(Instant::now() + patience(matches)?)
+    Ok(Instant::now() + timeout(matches)?)
 }
 
 /// Returns `--timeout`.
-pub(crate) fn patience(matches: &ArgMatches) -> anyhow::Result<Duration> {
+pub(crate) fn timeout(matches: &ArgMatches) -> anyhow::Result<Duration> {
     let seconds: Option<&u64> = matches.get_one("timeout");
     let seconds = seconds.context("--timeout is missing")?;
     Ok(Duration::from_secs(*seconds))
@@ -83,10 +83,13 @@
         .body(Full::new(Bytes::new()))?;
     let client = Client::new(addr, client::Options::default());
     let what = || format!("no status of the process at {addr}");
-    let answer = client.send(req, ANSWER_TIMEOUT).await.with_context(what)?;
-    let status = answer.head.status;
-    let body = answer
-        .collect(MAX_ANSWER_BYTES, ANSWER_TIMEOUT)
+    let response = client
+        .send(req, RESPONSE_TIMEOUT)
+        .await
+        .with_context(what)?;
+    let status = response.head.status;
+    let body = response
+        .collect(MAX_RESPONSE_BYTES, RESPONSE_TIMEOUT)
         .await
         .with_context(what)?;
     let value: Value = serde_json::from_slice(&body)
--- a/crates/dandelionstair/src/plan.rs
+++ b/crates/dandelionstair/src/plan.rs
@@ -26,11 +26,11 @@
     };
     let store = platform::store(matches)?;
     let in_force = operator::runtime()?.block_on(load::load(&store))?;
-    let (version, present) = match in_force {
+    let (version, current) = match in_force {
         Some(found) => (found.version, found.catalogue),
         None => (NOTHING, Catalogue::default()),
     };
-    println!("{}", Diff::between(&present, &declared));
+    println!("{}", Diff::between(&current, &declared));
     println!("Version {version} is in force; apply with --from {version}.");
     Ok(ExitCode::SUCCESS)
 }
--- a/crates/dandelionstair/src/process.rs
+++ b/crates/dandelionstair/src/process.rs
@@ -70,7 +70,7 @@
 
 /// Makes the runtime of a process that has a fifth of a core: one thread, since a second one would
 /// only add switches between the two.
-pub(crate) fn thin_runtime() -> anyhow::Result<Runtime> {
+pub(crate) fn single_thread_runtime() -> anyhow::Result<Runtime> {
     Builder::new_current_thread()
         .enable_all()
         .build()
@@ -106,7 +106,7 @@
 
 /// Settings that follow their file: it is read again on SIGHUP. A file with problems changes nothing,
 /// and all its problems are logged.
-pub(crate) fn reloaded<T, F>(
+pub(crate) fn reload_on_hangup<T, F>(
     matches: &ArgMatches,
     first: T,
     read: F,
@@ -139,7 +139,7 @@
 }
 
 /// Prints one line of JSON with the addresses that were bound, for whoever supervises the process.
-pub(crate) fn say_ready(addresses: &Value) -> anyhow::Result<()> {
+pub(crate) fn print_ready(addresses: &Value) -> anyhow::Result<()> {
     let mut out = std::io::stdout().lock();
     writeln!(out, "{}", json!({ "ready": addresses }))?;
     out.flush()?;
--- a/crates/dandelionstair/src/relay.rs
+++ b/crates/dandelionstair/src/relay.rs
@@ -14,9 +14,9 @@
         Err(code) => return Ok(code),
     };
     event::init(&settings.name)?;
-    process::thin_runtime()?.block_on(async {
+    process::single_thread_runtime()?.block_on(async {
         let stop = process::stop_signal()?;
-        let settings = process::reloaded(matches, settings, fleet_settings::gateway)?;
+        let settings = process::reload_on_hangup(matches, settings, fleet_settings::gateway)?;
         stair_relay::process::run(settings, stop).await
     })?;
     event::flush();
--- a/crates/dandelionstair/src/status.rs
+++ b/crates/dandelionstair/src/status.rs
@@ -17,17 +17,17 @@
 pub(crate) fn run(matches: &ArgMatches) -> anyhow::Result<ExitCode> {
     let addrs = matches.get_many::<SocketAddr>("operator");
     let runtime = operator::runtime()?;
-    let mut all_answered = true;
+    let mut all_succeeded = true;
     for addr in addrs.into_iter().flatten() {
         match runtime.block_on(operator::call(*addr, Method::GET, "/status")) {
             Ok(status) => println!("{addr} {status}"),
             Err(e) => {
                 eprintln!("{addr} error: {e:#}");
-                all_answered = false;
+                all_succeeded = false;
             }
         }
     }
-    if all_answered {
+    if all_succeeded {
         Ok(ExitCode::SUCCESS)
     } else {
         Ok(exit::FAILED.into())
