--- a/crates/stair-config/src/check.rs
+++ b/crates/stair-config/src/check.rs
@@ -1,4 +1,4 @@
-//! The rules of each declared item, and of all together.
+//! The checks of declarations: of each item, then across items.
 
 use stair_types::{
     CallerName,
@@ -48,11 +48,12 @@
 const KEEP_FIELDS: [&str; 3] = ["cold_start_weight", "min_idle_ms", "max_idle_ms"];
 const STORE_FIELDS: [&str; 2] = ["loads_per_second", "full_speed_loads"];
 
-/// 4 TiB: above any accelerator, and far below an overflow when a target's models are summed up.
+/// 4 TiB: more than any accelerator has, and low enough that the sum over a target's models does
+/// not overflow.
 const MAX_MEMORY_MIB: u32 = 4 << 20;
 
-/// A model with its adapters is one piece of a chunk, and a chunk must stay below the platform's
-/// megabyte: 2,000 adapters with names and versions of 128 bytes take about 650 KB.
+/// A model and its adapters are always in one chunk, and a chunk must stay below the platform's
+/// limit of a megabyte: 2,000 adapters with names and versions of 128 bytes take about 650 KB.
 const MAX_ADAPTERS: usize = 2_000;
 
 const MAX_REPLICAS: u16 = 20_000;
@@ -66,13 +67,13 @@
 const MAX_FLOORS_PERCENT: u32 = 100;
 const METHODS: [&str; 7] = ["DELETE", "GET", "HEAD", "OPTIONS", "PATCH", "POST", "PUT"];
 
-/// An item and where it was declared.
+/// An item and the place of its declaration.
 pub(crate) struct Located<T> {
     pub(crate) place: Place,
     pub(crate) item: T,
 }
 
-/// Items that are right one by one.
+/// Items of all files that passed their own checks, before the checks across items.
 #[derive(Default)]
 pub(crate) struct Declared {
     pub(crate) models: Vec<Located<Model>>,
@@ -82,6 +83,8 @@
     pub(crate) policy: Policy,
 }
 
+/// Checks each item of a list. `id` is the field to which checks across items assign their
+/// problems.
 fn check_items<'a, T, F>(
     problems: &mut Problems,
     parent: &Fields<'a>,
@@ -292,7 +295,7 @@
     })
 }
 
-/// Checks what no item can be checked for alone, and makes the sorted catalogue.
+/// Checks the rules across items and returns the sorted catalogue.
 pub(crate) fn build_catalogue(problems: &mut Problems, all: Declared) -> Catalogue {
     check_caller_tiers(problems, &all);
     let tiers = sort_tiers(problems, all.tiers);
@@ -306,6 +309,7 @@
     }
 }
 
+/// Sorts items by their key and adds a problem for each duplicate.
 fn sort_unique<T, K, F>(
     problems: &mut Problems,
     mut all: Vec<Located<T>>,
@@ -316,7 +320,7 @@
     F: Fn(&T) -> K,
     K: Ord,
 {
-    // The sort is stable, so the later of two equal ones is the one that is reported.
+    // The sort is stable, so the problem is reported for the later of two duplicates.
     all.sort_by_key(|at| key(&at.item));
     for pair in all.windows(2) {
         if key(&pair[0].item) == key(&pair[1].item) {
@@ -351,6 +355,7 @@
     }
 }
 
+/// Sorts tiers by rank and checks their ranks, names and the sum of their floors.
 fn sort_tiers(problems: &mut Problems, mut tiers: Vec<Located<Tier>>) -> Vec<Tier> {
     tiers.sort_by_key(|at| at.item.rank);
     let mut floors = 0;
--- a/crates/stair-config/src/chunks.rs
+++ b/crates/stair-config/src/chunks.rs
@@ -1,16 +1,16 @@
-//! A catalogue cut into values that the platform holds.
+//! Splits a catalogue into chunks, which are values on the platform, and joins them again.
 //!
-//! The platform holds at most a megabyte in one value. A catalogue of 430 models with 15,910
-//! adapters has 970 kB with short names (trial of the test `planned_size`) and more with long
-//! ones. Items go to a chunk by a hash of their name, so that a change of one model makes one new
-//! chunk and leaves the others as they are. Chunks are named by their content, so that they are
-//! never changed and an apply that was given up on does no harm.
+//! The platform limits one value to a megabyte. A catalogue of 430 models with 15,910 adapters
+//! has 970 kB with short names (test `planned_size`) and more with long ones. The hash of an
+//! item's name selects its chunk, so that a change of one model makes one new chunk and leaves the
+//! others as they are. Chunks are named by their content and are therefore immutable; an abandoned
+//! apply has no effect on the configuration in force.
 //!
-//! Every entry gets each changed chunk and the manifest, so the two are balanced: with 160 buckets
-//! for models a chunk has some 7 kB in the mean (1.1 MB in all, as the example `slopes` makes it)
-//! and the names of the chunks some 6 kB. At 13,000 changes a day that is about 2 kB a second for
-//! each entry, of the 7 KB that control may cost. Fewer buckets make chunks larger, more make the
-//! manifest larger.
+//! Every entry receives each changed chunk and the manifest, so their sizes are balanced: with 160
+//! buckets for models a chunk has about 7 kB in the mean (1.1 MB in all, in the example `slopes`)
+//! and the names of the chunks about 6 kB. At 13,000 changes a day that is about 2 kB a second for
+//! each entry, out of 7 KB a second for all control traffic. Fewer buckets make chunks larger, more
+//! make the manifest larger.
 
 use serde::{
     Deserialize,
@@ -31,31 +31,31 @@
     Tier, //
 };
 
-/// Buckets of models; see the module's text for the choice.
+/// Buckets of models. The module's documentation derives the number.
 const MODEL_BUCKETS: u16 = 160;
 
-/// Buckets of callers.
+/// Buckets of callers; see [`MODEL_BUCKETS`].
 const CALLER_BUCKETS: u16 = 16;
 
-/// Most bytes in one chunk; the platform allows a megabyte and counts its own framing.
+/// Maximum size of one chunk, in bytes. The platform allows a megabyte including its own framing.
 pub const MAX_CHUNK_BYTES: usize = 900_000;
 
-/// One value for the platform.
+/// A part of a catalogue, stored as one value on the platform.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Chunk {
     /// [`content_name`] of the value's JSON text; the object's name.
     pub hash: Box<str>,
-    /// The value. Its keys are sorted, so its text does not depend on who wrote it.
+    /// The content. Its keys are sorted, so equal contents have equal JSON texts.
     pub value: Value,
 }
 
-/// Why a catalogue cannot be cut or joined.
+/// An error of [`split`] or [`join`].
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum Error {
     /// A chunk would exceed [`MAX_CHUNK_BYTES`].
     #[error("a part of the catalogue has {0} bytes, more than {MAX_CHUNK_BYTES}")]
     TooLarge(usize),
-    /// A chunk's content does not fit its name.
+    /// The hash of a chunk's content differs from its name.
     #[error("chunk {name} has content with the hash {found}")]
     WrongHash {
         /// The chunk's name.
@@ -68,14 +68,15 @@
     Undecodable {
         /// The chunk's name.
         name: Box<str>,
-        /// The decoder's text.
+        /// The decoder's error text.
         cause: Box<str>,
     },
-    /// The chunks together break the catalogue's rules.
+    /// The joined chunks violate an invariant of the catalogue; the text names the kind of item.
     #[error("the chunks together have {0} twice or not at all")]
     Inconsistent(&'static str),
 }
 
+/// The decoded content of one chunk. Fields without items are omitted.
 #[derive(Debug, Default, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 struct Part {
@@ -91,11 +92,11 @@
     policy: Option<Policy>,
 }
 
-/// Cuts a catalogue into chunks. Equal catalogues give equal chunks in equal order.
+/// Splits a catalogue into chunks. Equal catalogues give equal chunks in equal order.
 ///
 /// # Errors
 ///
-/// [`Error::TooLarge`].
+/// [`Error::TooLarge`] if the items of one bucket exceed [`MAX_CHUNK_BYTES`].
 pub fn split(catalogue: &Catalogue) -> Result<Vec<Chunk>, Error> {
     let shared = Part {
         tiers: catalogue.tiers.clone(),
@@ -123,11 +124,11 @@
     Ok(chunks)
 }
 
-/// Joins chunks, given in any order, to the catalogue that they were cut from.
+/// Joins chunks, in any order, into the catalogue that they were split from.
 ///
 /// # Errors
 ///
-/// Any [`Error`] but [`Error::TooLarge`].
+/// Any [`Error`] except [`Error::TooLarge`].
 pub fn join<'c, I>(chunks: I) -> Result<Catalogue, Error>
 where
     I: IntoIterator<Item = &'c Chunk>,
@@ -173,16 +174,16 @@
     Ok(())
 }
 
-/// Hexadecimal digits of a chunk's name: 128 bits. No two chunks meet by chance, and the manifest,
-/// which every entry reads at each change, has one name for each chunk.
+/// Hexadecimal digits of a chunk's name. 128 bits exclude accidental collisions and keep the
+/// manifest small: it lists every chunk's name, and every entry reads it at each change.
 const NAME_DIGITS: usize = 32;
 
-/// Returns the name of a chunk by its JSON text: the first half of its SHA-256.
+/// Returns the name of a chunk: the first half of its JSON text's SHA-256, in hexadecimal.
 pub fn content_name(text: &str) -> Box<str> {
     sha256_hex(text.as_bytes())[..NAME_DIGITS].into()
 }
 
-/// Returns SHA-256 in lower-case hexadecimal, as callers' keys are declared.
+/// Returns the SHA-256 of `bytes` in lower-case hexadecimal, the format of [`Caller::key_sha256`].
 pub fn sha256_hex(bytes: &[u8]) -> Box<str> {
     use std::fmt::Write;
 
@@ -195,7 +196,7 @@
 }
 
 fn encode(part: &Part) -> Result<Chunk, Error> {
-    // All keys are texts and all numbers finite, so that the encoding does not fail.
+    // The encoding cannot fail: all keys are strings and all numbers are finite.
     let value = serde_json::to_value(part).unwrap_or_default();
     let text = value.to_string();
     if text.len() > MAX_CHUNK_BYTES {
--- a/crates/stair-config/src/declarations.rs
+++ b/crates/stair-config/src/declarations.rs
@@ -1,4 +1,4 @@
-//! An operator's declarations: a directory of YAML files that are checked and applied as a whole.
+//! Reads an operator's declarations: a directory of YAML files, checked and applied as a whole.
 //!
 //! Every file may have any of the top-level fields `models`, `tiers`, `callers`, `services` and
 //! `policy`; lists of several files are joined, and only one file may have `policy`.
@@ -22,14 +22,14 @@
     yaml::Document, //
 };
 
-/// Files that are read but not yet checked.
+/// Decoded files before the checks, which `TryFrom` runs.
 #[derive(Debug, Clone, Default)]
 pub struct Declarations {
     documents: Vec<Document>,
 }
 
 impl Declarations {
-    /// Takes documents in their order.
+    /// Takes documents in the order in which they are checked.
     pub fn new(documents: Vec<Document>) -> Self {
         Self { documents }
     }
@@ -45,11 +45,11 @@
     }
 }
 
-/// Reads and checks a directory's `*.yaml` files, those of its directories as well, or one file.
+/// Reads and checks one file, or all `*.yaml` files in a directory and its subdirectories.
 ///
 /// # Errors
 ///
-/// Everything that is wrong in any of the files.
+/// All problems of all files. If a file cannot be decoded, only the decoding errors.
 pub fn read(path: &Path) -> Result<Catalogue, Problems> {
     let mut problems = Problems::default();
     let files = match yaml_files(path) {
@@ -70,8 +70,8 @@
             Err(e) => problems.append(e),
         }
     }
-    // A file that cannot be decoded hides what others refer to, so its absence would be reported
-    // as problems of theirs.
+    // Other files may refer to items in a file that cannot be decoded. Checking them without it
+    // would report problems that they do not have.
     if !problems.is_empty() {
         return Err(problems);
     }
--- a/crates/stair-config/src/diff.rs
+++ b/crates/stair-config/src/diff.rs
@@ -1,4 +1,4 @@
-//! What an apply would change, for an operator to read first.
+//! The difference between two catalogues, which shows an operator what an apply would change.
 
 use std::fmt;
 
@@ -19,12 +19,12 @@
     Callers,
     /// Plain services.
     Services,
-    /// Weights of the decisions.
+    /// Parameters of scheduling decisions.
     Policy,
 }
 
 impl Section {
-    /// Returns the field's name in the files.
+    /// Returns the name of the top-level field in the files.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::Models => "models",
@@ -36,49 +36,49 @@
     }
 }
 
-/// A field with two values.
+/// A field whose value differs, with both values as JSON texts.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct FieldChange {
     /// The field, such as `adapters.legal.version`.
     pub field: Box<str>,
-    /// The value in force; none when the field is new.
+    /// The value in force; `None` if the field is new.
     pub from: Option<Box<str>>,
-    /// The declared value; none when the field goes.
+    /// The declared value; `None` if the field is removed.
     pub to: Option<Box<str>>,
 }
 
-/// What happens to an item.
+/// The kind of a change of an item.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Change {
-    /// It is new.
+    /// The item is only in the declared catalogue.
     Added,
-    /// It goes.
+    /// The item is only in the catalogue in force.
     Removed,
-    /// Some of its fields differ.
+    /// The item is in both catalogues and these fields differ.
     Changed(Vec<FieldChange>),
 }
 
 /// A changed item.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct ItemChange {
-    /// What the item is.
+    /// The kind of the item.
     pub section: Section,
     /// The item's name; empty for the policy.
     pub name: Box<str>,
-    /// What happens to it.
+    /// The change of the item.
     pub change: Change,
 }
 
-/// Everything that an apply would change.
+/// All changes of an apply.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize)]
 pub struct Diff {
-    /// By section, then name.
+    /// Ordered by section, then name.
     pub items: Vec<ItemChange>,
 }
 
 impl Diff {
-    /// Compares the catalogue in force with the declared one.
+    /// Compares `old`, the catalogue in force, with `new`, the declared one.
     pub fn between(old: &Catalogue, new: &Catalogue) -> Self {
         let mut items = Vec::new();
         let mut add = |section, old, new| items.extend(section_changes(section, old, new));
@@ -110,7 +110,7 @@
         Self { items }
     }
 
-    /// Tells whether an apply would change nothing.
+    /// Returns `true` if the catalogues are equal.
     pub fn is_empty(&self) -> bool {
         self.items.is_empty()
     }
@@ -165,6 +165,7 @@
     }
 }
 
+/// A JSON value and the name by which two catalogues are matched.
 struct Named {
     name: Box<str>,
     value: Value,
@@ -179,7 +180,7 @@
     for item in items {
         all.push(Named {
             name: name(item).into(),
-            // All keys are texts and all numbers finite, so that the encoding does not fail.
+            // The encoding cannot fail: all keys are strings and all numbers are finite.
             value: serde_json::to_value(item).unwrap_or_default(),
         });
     }
@@ -246,7 +247,8 @@
     }
 }
 
-// Items of a list go by what tells them apart for an operator, not by their position.
+// Items of a list are matched by their label instead of their position, so that inserting one does
+// not report all later ones as changed.
 fn children(value: &Value) -> Vec<Named> {
     let mut all = Vec::new();
     let mut add = |name: String, value: &Value| {
--- a/crates/stair-config/src/fields.rs
+++ b/crates/stair-config/src/fields.rs
@@ -1,7 +1,7 @@
 //! Checked access to the fields of a map in an operator's file.
 //!
-//! Every method returns `None` after it has added the problem, so that the caller goes on with the
-//! other fields and reports everything at once.
+//! A method that finds a problem adds it to the list and returns `None`. Its user goes on with the
+//! other fields, so that one run reports all problems of a file.
 
 use std::{
     fmt::Display,
@@ -22,10 +22,10 @@
     }, //
 };
 
-/// Longest version accepted, in bytes.
+/// Maximum length of a text such as a version, in bytes.
 pub(crate) const MAX_TEXT_BYTES: usize = 128;
 
-/// The fields of one map.
+/// The fields of one map, with the map's file, path and line.
 pub(crate) struct Fields<'a> {
     file: &'a str,
     path: String,
@@ -33,7 +33,7 @@
     entries: &'a [Entry],
 }
 
-/// An item of a list that is still to be checked.
+/// An unchecked item of a list.
 #[derive(Clone, Copy)]
 pub(crate) struct Item<'a> {
     pub(crate) index: usize,
@@ -41,7 +41,7 @@
 }
 
 impl<'a> Fields<'a> {
-    /// Takes a document's root, which has the `known` fields only.
+    /// Returns the fields of a document's root; adds a problem for each field not in `known`.
     pub(crate) fn of_document(
         problems: &mut Problems,
         document: &'a Document,
@@ -90,7 +90,7 @@
         Some(fields)
     }
 
-    /// Returns the place of a field, or of the map when the field is missing.
+    /// Returns the place of a field; its line is that of the map if the field is missing.
     pub(crate) fn place(&self, name: &str) -> Place {
         let line = self.node(name).map_or(self.line, |n| n.line);
         Place {
@@ -113,7 +113,7 @@
         Some(&entry.node)
     }
 
-    /// Tells whether the file has the field.
+    /// Returns whether the map has the field.
     pub(crate) fn has(&self, name: &str) -> bool {
         self.node(name).is_some()
     }
@@ -158,7 +158,7 @@
         items.map(|(index, node)| Item { index, node }).collect()
     }
 
-    /// Returns the fields of a list's item.
+    /// Returns the fields of an item of the list `name`.
     pub(crate) fn item(
         &self,
         problems: &mut Problems,
@@ -170,7 +170,7 @@
         Self::of_node(problems, self.file, path, item.node, known)
     }
 
-    /// Returns a text that `convert` accepts.
+    /// Returns the result of `convert` for a text.
     pub(crate) fn text_as<T, E, F>(
         &self,
         problems: &mut Problems,
@@ -187,7 +187,7 @@
         convert_text(problems, place, node, allowed, convert)
     }
 
-    /// Returns one of the checked names.
+    /// Returns a checked name of `stair_types`.
     pub(crate) fn name<T>(&self, problems: &mut Problems, name: &str) -> Option<T>
     where
         T: for<'t> TryFrom<&'t str, Error = stair_types::NameError>,
@@ -198,7 +198,7 @@
         })
     }
 
-    /// Returns a text that is neither empty nor long.
+    /// Returns a text of 1 to [`MAX_TEXT_BYTES`] bytes.
     pub(crate) fn text(&self, problems: &mut Problems, name: &str) -> Option<Box<str>> {
         let allowed = "a text of 1 to 128 bytes, in quotes if it looks like a number";
         self.text_as(problems, name, allowed, |text| {
@@ -211,8 +211,8 @@
 
     /// Returns a SHA-256 in lower-case hexadecimal.
     ///
-    /// What was found is never shown: whoever writes a key here in place of its hash by mistake
-    /// must not find it in a log.
+    /// Problems never show the value found. If a file holds a key in place of its hash by mistake,
+    /// the key must not reach a log.
     pub(crate) fn sha256(&self, problems: &mut Problems, name: &str) -> Option<Box<str>> {
         let allowed = "a SHA-256 as 64 lower-case hexadecimal digits, in quotes";
         let node = self.required(problems, name, allowed)?;
@@ -228,12 +228,12 @@
         None
     }
 
-    /// Returns an IP address with a port other than 0.
+    /// Returns an IP address and a port other than 0.
     pub(crate) fn address(&self, problems: &mut Problems, name: &str) -> Option<SocketAddr> {
         self.text_as(problems, name, ADDRESS, address)
     }
 
-    /// Returns an IP address and port to listen on; port 0 lets the system choose.
+    /// Returns an IP address and a port to listen on; port 0 lets the system choose one.
     pub(crate) fn listener(&self, problems: &mut Problems, name: &str) -> Option<SocketAddr> {
         let parse = |text: &str| text.parse().map_err(|_| format!("{text:?}"));
         self.text_as(problems, name, ADDRESS, parse)
@@ -254,7 +254,7 @@
         (all.len() == items.len()).then_some(all)
     }
 
-    /// Returns a whole number within `range`, or `default` when there is no such field.
+    /// Returns a whole number within `range`, or `default` if the field is missing.
     pub(crate) fn integer<T>(
         &self,
         problems: &mut Problems,
@@ -280,7 +280,7 @@
         number
     }
 
-    /// Returns a number within `range`, or `default` when there is no such field.
+    /// Returns a number within `range`, or `default` if the field is missing.
     pub(crate) fn number(
         &self,
         problems: &mut Problems,
@@ -293,7 +293,7 @@
         };
         let number = match node.value {
             Value::Float(x) => Some(x),
-            // Exact up to 2^53, far above any range that is asked for.
+            // Exact up to 2^53, far above the end of any range in use.
             Value::Integer(n) => Some(n as f64),
             _ => None,
         };
@@ -305,7 +305,7 @@
         number
     }
 
-    /// Returns `true` or `false`, or `default` when there is no such field.
+    /// Returns a boolean, or `default` if the field is missing.
     pub(crate) fn boolean(
         &self,
         problems: &mut Problems,
--- a/crates/stair-config/src/fleet_settings.rs
+++ b/crates/stair-config/src/fleet_settings.rs
@@ -1,4 +1,4 @@
-//! Settings of the programs that serve targets which announce themselves in the store.
+//! Settings of the programs `relay` and `sidecar`, whose targets announce themselves in the store.
 
 use std::{
     net::SocketAddr,
@@ -45,89 +45,89 @@
 const MAX_MS: u32 = 3_600_000;
 const MAX_RETRIES: f64 = 1e6;
 
-/// Entries that share the retries which no request pays for, when the settings do not say: twice a
-/// usual deployment's five, since replaced ones have spent their part too.
+/// Default of `retries.entries`: twice the usual five of a deployment, because an entry that was
+/// replaced has spent its share of `extra` too.
 const DEFAULT_ENTRIES: u32 = 10;
 
-/// Time in which an engine begins one load from the weight store at most, when the settings do not
-/// say: as long as the weight stores in use count, in milliseconds.
+/// Default of `fetch_window_ms`, in milliseconds: the window over which the weight stores in use
+/// count loads.
 const DEFAULT_FETCH_WINDOW_MS: u32 = 5000;
 
-/// Settings of an entry in front of targets that announce themselves.
+/// Settings of `dandelionstair relay`, an entry in front of targets that announce themselves.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct GatewaySettings {
     /// The entry's name, unique in the deployment.
     pub name: Box<str>,
     /// The data centre of its VM.
     pub data_centre: DataCentre,
-    /// Where clients connect.
+    /// The listener for clients.
     pub listen: SocketAddr,
-    /// Where the balancer asks whether to send new connections.
+    /// The listener for the balancer's readiness checks.
     pub ready: SocketAddr,
-    /// Where other entries ask for what this one knows.
+    /// The listener for queries of other entries.
     pub inner: SocketAddr,
-    /// The port at which each engine's agent listens, on the engine's VM.
+    /// The port of the agent on each engine's VM.
     pub agent_port: u16,
-    /// Where metrics are read.
+    /// The listener for metrics.
     pub metrics: SocketAddr,
-    /// The object store.
+    /// The address of the object store.
     pub store: SocketAddr,
     /// Time from SIGTERM until the process is killed, in milliseconds.
     pub stop_within_ms: u32,
-    /// Time within which a target that is leaving gets its last request, in milliseconds.
+    /// Time within which a draining target receives its last request, in milliseconds.
     pub drain_within_ms: u32,
-    /// The bound on retries for all entries together.
+    /// The limit on retries, for all entries together.
     pub retries: RetrySettings,
 }
 
-/// The bound on retries for all entries together, for each service.
+/// The limit on retries of one service, for all entries together.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub struct RetrySettings {
-    /// Retries for each request.
+    /// Retries that each request adds to the budget.
     pub ratio: f64,
-    /// Retries in a window that no request pays for.
+    /// Retries allowed in one window independently of the number of requests.
     pub extra: f64,
-    /// The window, in milliseconds.
+    /// Length of the window, in milliseconds.
     pub window_ms: u32,
-    /// Entries that share `extra`.
+    /// Number of entries that share `extra`.
     pub entries: u32,
 }
 
-/// Settings of the agent beside a model engine that announces itself.
+/// Settings of `dandelionstair sidecar`, the agent of an engine that announces itself.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct SidecarSettings {
-    /// The VM's name, which orders bear as their holder.
+    /// The VM's name, which orders carry as their holder.
     pub name: Box<str>,
     /// The data centre of its VM.
     pub data_centre: DataCentre,
-    /// The engine.
+    /// The engine's HTTP address.
     pub engine: SocketAddr,
-    /// Where entries connect.
+    /// The listener for entries.
     pub inner: SocketAddr,
-    /// Where metrics are read.
+    /// The listener for metrics.
     pub metrics: SocketAddr,
-    /// The object store.
+    /// The address of the object store.
     pub store: SocketAddr,
     /// Time from SIGTERM until the process is killed, in milliseconds.
     pub stop_within_ms: u32,
-    /// Time in which the engine begins one load from the weight store at most, in milliseconds.
+    /// Minimum time between the starts of two loads from the weight store, in milliseconds.
     pub fetch_window_ms: u32,
 }
 
-/// Reads and checks an entry's settings.
+/// Reads and checks the settings of `dandelionstair relay`.
 ///
 /// # Errors
 ///
-/// Everything that is wrong in the file.
+/// All problems of the file.
 pub fn gateway(path: &Path) -> Result<GatewaySettings, Problems> {
     GatewaySettings::try_from(&Document::read(path)?)
 }
 
-/// Reads and checks an agent's settings.
+/// Reads and checks the settings of `dandelionstair sidecar`.
 ///
 /// # Errors
 ///
-/// Everything that is wrong in the file.
+/// All problems of the file.
 pub fn sidecar(path: &Path) -> Result<SidecarSettings, Problems> {
     SidecarSettings::try_from(&Document::read(path)?)
 }
--- a/crates/stair-config/src/lib.rs
+++ b/crates/stair-config/src/lib.rs
@@ -1,12 +1,13 @@
-//! What operators declare, as checked types.
+//! Reads and checks the files of operators: declarations and the settings of processes.
 //!
-//! - [`settings`]: one process's own settings; [`read_settings`] reads and checks them.
+//! - [`settings`]: the settings of one entry or agent; [`read_settings`] reads and checks them.
+//! - [`fleet_settings`]: the settings of one relay or sidecar, with their checks.
 //! - [`types`]: the catalogue of models, adapters, tiers, callers, services and policy weights.
 //! - [`declarations`]: reads a directory of YAML files into a catalogue.
-//! - [`chunks`]: cuts a catalogue into values that the platform holds, and joins them again.
-//! - [`diff`]: what an apply would change.
-//! - [`problem`]: everything that is wrong with a file, with place and what is allowed.
-//! - [`yaml`]: YAML text as a tree whose nodes know their lines.
+//! - [`chunks`]: splits a catalogue into values for the platform, and joins them again.
+//! - [`diff`]: the difference between two catalogues.
+//! - [`problem`]: errors in a file, each with its place, the value found and the values allowed.
+//! - [`yaml`]: YAML text as a tree with line numbers.
 #![deny(missing_docs)]
 #![forbid(unsafe_code)]
 
--- a/crates/stair-config/src/problem.rs
+++ b/crates/stair-config/src/problem.rs
@@ -1,4 +1,4 @@
-//! What is wrong with an operator's files, all of it at once.
+//! Errors in an operator's files, collected so that one run reports all of them.
 
 use std::fmt;
 
@@ -13,14 +13,14 @@
     pub field: Box<str>,
 }
 
-/// One thing that is wrong.
+/// One error in a file.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Problem {
-    /// Where.
+    /// The file, line and field of the error.
     pub place: Place,
-    /// What was found there.
+    /// The value found there, or a description of it.
     pub found: Box<str>,
-    /// What is allowed there.
+    /// The values allowed there.
     pub allowed: Box<str>,
 }
 
@@ -38,12 +38,14 @@
     }
 }
 
-/// Everything that is wrong, in the order of files and lines.
+/// The errors found in one or more files.
+///
+/// Unsorted while they are collected; a returned `Err` is sorted by file, then line.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Problems(Vec<Problem>);
 
 impl Problems {
-    /// Adds a problem.
+    /// Adds a problem with the display texts of `found` and `allowed`.
     pub fn add(&mut self, place: Place, found: impl fmt::Display, allowed: impl fmt::Display) {
         self.0.push(Problem {
             place,
@@ -52,26 +54,26 @@
         });
     }
 
-    /// Takes over the problems of another file.
+    /// Moves the problems of `other` to the end of this list.
     pub fn append(&mut self, mut other: Self) {
         self.0.append(&mut other.0);
     }
 
-    /// Tells whether nothing is wrong.
+    /// Returns `true` if no problem was added.
     pub fn is_empty(&self) -> bool {
         self.0.is_empty()
     }
 
-    /// Returns the problems.
+    /// Iterates over the problems.
     pub fn iter(&self) -> impl Iterator<Item = &Problem> {
         self.0.iter()
     }
 
-    /// Returns `value` if nothing is wrong.
+    /// Returns `value` if it is present and no problem was added.
     ///
     /// # Errors
     ///
-    /// All problems, sorted by place.
+    /// All problems, sorted by file and line.
     pub(crate) fn into_result<T>(mut self, value: Option<T>) -> Result<T, Self> {
         match value {
             Some(value) if self.is_empty() => Ok(value),
--- a/crates/stair-config/src/read_settings.rs
+++ b/crates/stair-config/src/read_settings.rs
@@ -1,4 +1,5 @@
-//! Reading a process's settings, with the same checks and errors as declarations.
+//! Reads and checks the settings of entries and agents, with the same error reports as
+//! declarations.
 
 use std::{
     net::SocketAddr,
@@ -80,7 +81,7 @@
 ///
 /// # Errors
 ///
-/// Everything that is wrong in the file.
+/// All problems of the file.
 pub fn entry(path: &Path) -> Result<EntrySettings, Problems> {
     EntrySettings::try_from(&Document::read(path)?)
 }
@@ -89,7 +90,7 @@
 ///
 /// # Errors
 ///
-/// Everything that is wrong in the file.
+/// All problems of the file.
 pub fn agent(path: &Path) -> Result<AgentSettings, Problems> {
     AgentSettings::try_from(&Document::read(path)?)
 }
@@ -178,7 +179,8 @@
         ("target", target_address),
     ];
     check_distinct(problems, &fields, &tcp);
-    // The agent publishes this address: entries would connect to their own VM and find nobody.
+    // The agent publishes this address. With an unspecified one, entries would connect to their own
+    // VM, where no agent listens.
     if link.is_some_and(|link| link.ip().is_unspecified()) {
         let allowed = "an IP address that entries reach";
         problems.add(fields.place("link"), "an unspecified IP address", allowed);
@@ -197,11 +199,11 @@
     })
 }
 
-/// A TCP address and the field that it comes from.
+/// The name of a field and its TCP address, if valid.
 type NamedAddress = (&'static str, Option<SocketAddr>);
 
-// Of two listeners at one address the second cannot bind, and a process that took its own listener
-// for the platform or its target would wait for itself.
+// Two listeners cannot bind to one address, and a process whose platform or target has the address
+// of its own listener would wait for itself.
 fn check_distinct(problems: &mut Problems, fields: &Fields<'_>, all: &[NamedAddress]) {
     for (i, (name, addr)) in all.iter().enumerate() {
         let Some(addr) = addr.filter(|a| a.port() != 0) else {
--- a/crates/stair-config/src/settings.rs
+++ b/crates/stair-config/src/settings.rs
@@ -1,7 +1,7 @@
-//! A process's own settings: addresses, data centre, keys and limits.
+//! The settings of one entry or agent: addresses, data centre, keys and limits.
 //!
-//! Everything here belongs to one process and does not change while it runs. What all processes
-//! share is declared in the [`Catalogue`](crate::Catalogue).
+//! Settings apply to one process and do not change while it runs. The configuration that all
+//! processes share is in the [`Catalogue`](crate::Catalogue).
 
 use std::{
     net::SocketAddr,
@@ -27,20 +27,22 @@
     pub name: EntryName,
     /// The data centre of its VM.
     pub data_centre: DataCentre,
-    /// Where callers connect.
+    /// The listener for callers; TCP.
     pub listen: SocketAddr,
-    /// Where agents and other entries connect; UDP.
+    /// The listener for links of agents and other entries; UDP.
     pub link: SocketAddr,
-    /// Where the operator asks for the state dump; never reachable for callers.
+    /// The listener for operators' commands, such as the state dump; must not be reachable for
+    /// callers.
     pub operator: SocketAddr,
     /// The platform's object API.
     pub platform: SocketAddr,
-    /// Links of other entries, asked when the platform is down at start.
+    /// Link addresses of other entries, which supply the configuration if the platform is down at
+    /// start.
     #[serde(default)]
     pub peers: Vec<SocketAddr>,
     /// Keys for links.
     pub tls: TlsSettings,
-    /// Bounds towards callers.
+    /// Limits for callers.
     #[serde(default)]
     pub limits: EntryLimits,
     /// Logs and metrics.
@@ -48,27 +50,27 @@
     pub telemetry: TelemetrySettings,
 }
 
-/// Bounds of an entry towards its callers.
+/// Limits of an entry for its callers.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct EntryLimits {
-    /// Bytes of a request's body.
+    /// Maximum size of one request body, in bytes.
     pub max_body_bytes: u32,
-    /// Connections of callers open at once.
+    /// Maximum number of open connections of callers.
     pub max_connections: u32,
-    /// Requests in the entry at once, of all tiers.
+    /// Maximum number of requests in the entry at once, of all tiers.
     pub max_requests: u32,
-    /// Bytes of request bodies in the entry at once.
+    /// Maximum size of all request bodies in the entry at once, in bytes.
     pub max_waiting_bytes: u64,
-    /// Time for a request's head and for its body to arrive, in milliseconds.
+    /// Maximum time to receive a request's head, and again its body, in milliseconds.
     pub receive_timeout_ms: u32,
-    /// Time a caller may leave an answer unread, in milliseconds.
+    /// Maximum time for which a caller may leave a response unread, in milliseconds.
     pub write_stall_ms: u32,
-    /// Longest timeout that a caller may ask for, in milliseconds.
+    /// Maximum timeout that a request may set, in milliseconds.
     pub max_timeout_ms: u32,
-    /// A stopping entry goes on listening for so long, in milliseconds, and refuses what comes: the
-    /// balancer needs a few health checks to notice. A connection that the balancer opened
-    /// meanwhile would be reset otherwise, and its request cut.
+    /// Time for which a stopping entry keeps listening and refuses new requests, in milliseconds.
+    /// The balancer needs a few health checks to detect the stop. Without this time, connections
+    /// that it opens meanwhile would be reset and their requests interrupted.
     pub drain_linger_ms: u32,
 }
 
@@ -91,16 +93,17 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct AgentSettings {
-    /// The target's name, unique in the deployment and as in the platform's list of VMs.
+    /// The target's name, unique in the deployment and equal to its name in the platform's list of
+    /// VMs.
     pub name: TargetName,
     /// The data centre of its VM.
     pub data_centre: DataCentre,
-    /// Where entries connect; UDP.
+    /// The listener for links of entries; UDP.
     pub link: SocketAddr,
-    /// The address that entries use, when an address translation stands before `link`.
+    /// The address that entries connect to, if `link` is behind an address translation.
     #[serde(default)]
     pub advertise: Option<SocketAddr>,
-    /// Where the operator asks for the state dump.
+    /// The listener for operators' commands, such as the state dump.
     pub operator: SocketAddr,
     /// The platform's object API.
     pub platform: SocketAddr,
@@ -108,7 +111,7 @@
     pub target: TargetSettings,
     /// Keys for links.
     pub tls: TlsSettings,
-    /// Bounds of the agent.
+    /// Limits of the agent.
     #[serde(default)]
     pub limits: AgentLimits,
     /// Logs and metrics.
@@ -116,7 +119,7 @@
     pub telemetry: TelemetrySettings,
 }
 
-/// What stands beside an agent.
+/// The target beside an agent.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case")]
 pub enum TargetSettings {
@@ -131,13 +134,13 @@
     Service {
         /// The service's HTTP address.
         address: SocketAddr,
-        /// Which service it is.
+        /// The service's name in the catalogue.
         service: ServiceName,
     },
 }
 
 impl TargetSettings {
-    /// Returns the HTTP address of what stands beside the agent.
+    /// Returns the target's HTTP address.
     pub fn address(&self) -> SocketAddr {
         match self {
             Self::Engine { address, .. } | Self::Service { address, .. } => *address,
@@ -145,19 +148,19 @@
     }
 }
 
-/// Bounds of an agent.
+/// Limits of an agent.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct AgentLimits {
-    /// Bytes of request bodies waiting at once.
+    /// Maximum size of all waiting request bodies, in bytes.
     pub max_waiting_bytes: u64,
-    /// Bytes of one answer kept for a resume.
+    /// Maximum size of one response that is buffered for a resume, in bytes.
     pub max_answer_bytes: u32,
-    /// Time an answer is kept after its link broke, in milliseconds.
+    /// Time for which a response stays buffered after its link broke, in milliseconds.
     pub keep_answer_ms: u32,
-    /// Time without a byte from the target after which a run is given up, in milliseconds.
+    /// Time without a byte from the target after which a run is aborted, in milliseconds.
     pub target_silence_ms: u32,
-    /// Time for one load, in milliseconds.
+    /// Maximum time for one load, in milliseconds.
     pub load_timeout_ms: u32,
 }
 
@@ -173,7 +176,7 @@
     }
 }
 
-/// Keys for mutual TLS on links, as PEM files. All processes trust one authority.
+/// Paths of the PEM files for mutual TLS on links. All processes trust one authority.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct TlsSettings {
@@ -185,15 +188,15 @@
     pub key: PathBuf,
 }
 
-/// Where logs and metrics go.
+/// Settings of logs and metrics.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct TelemetrySettings {
-    /// Least severe level that is logged.
+    /// The least severe level that is logged.
     pub level: LogLevel,
-    /// One JSON object a line in place of text.
+    /// Writes each log line as a JSON object instead of text.
     pub json: bool,
-    /// Where statsd listens; none sends no metrics.
+    /// The address of statsd; without it no metrics are sent.
     pub statsd: Option<SocketAddr>,
 }
 
@@ -211,14 +214,14 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum LogLevel {
-    /// Something is broken and stays so.
+    /// A fault that persists.
     Error,
-    /// Something failed and is being handled.
+    /// A failure that is being handled.
     Warn,
-    /// Changes of state an operator wants to see.
+    /// Changes of state that matter to operators.
     Info,
     /// Details of decisions.
     Debug,
-    /// Everything.
+    /// All events.
     Trace,
 }
--- a/crates/stair-config/src/types.rs
+++ b/crates/stair-config/src/types.rs
@@ -1,7 +1,7 @@
-//! The catalogue: everything that one apply puts in force, as checked types.
+//! The catalogue: the whole configuration that one apply puts in force, as checked types.
 //!
 //! All vectors are sorted by name (tiers by rank) without duplicates, so look-ups are binary
-//! searches. A `Catalogue` is made by `TryFrom` from the operator's files only.
+//! searches. `TryFrom<Declarations>` and [`chunks::join`](crate::chunks::join) establish the order.
 
 use serde::{
     Deserialize,
@@ -16,19 +16,19 @@
     TierRank, //
 };
 
-/// Everything that one apply puts in force.
+/// The whole configuration that one apply puts in force.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Catalogue {
     /// Sorted by name.
     pub models: Vec<Model>,
-    /// Sorted by rank; ranks are 0, 1, 2 and so on.
+    /// Sorted by rank; ranks count up from 0 without gaps.
     pub tiers: Vec<Tier>,
     /// Sorted by key hash.
     pub callers: Vec<Caller>,
     /// Sorted by name.
     pub services: Vec<Service>,
-    /// Weights of the decisions.
+    /// Parameters of scheduling decisions.
     pub policy: Policy,
 }
 
@@ -65,15 +65,15 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Model {
-    /// What callers write as `model`.
+    /// The value of `model` in callers' requests.
     pub name: ModelName,
-    /// The checkpoint's version, as the weight store knows it.
+    /// The checkpoint's version in the weight store.
     pub version: Box<str>,
     /// Accelerator memory of one replica, in MiB.
     pub memory_mib: u32,
-    /// How many replicas may be loaded at once, at least 1.
+    /// Maximum number of replicas loaded at once, at least 1.
     pub replicas: u16,
-    /// Whether a request may run twice unless the caller says otherwise.
+    /// Whether a request may run twice. A caller may override it for each request.
     pub repeatable: bool,
     /// Sorted by name.
     pub adapters: Vec<Adapter>,
@@ -89,35 +89,35 @@
     }
 }
 
-/// An adapter on a base model; callers write `model/adapter`.
+/// An adapter of a base model. Requests select it by `model/adapter`.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Adapter {
     /// Unique within the base model.
     pub name: AdapterName,
-    /// The adapter's version, as the weight store knows it.
+    /// The adapter's version in the weight store.
     pub version: Box<str>,
-    /// Accelerator memory it takes beside its base model, in MiB.
+    /// Accelerator memory in addition to that of the base model, in MiB.
     pub memory_mib: u32,
 }
 
-/// What one priority tier buys.
+/// A priority tier and its limits.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Tier {
-    /// The tier's name.
+    /// Unique in the catalogue; callers refer to it.
     pub name: TierName,
     /// 0 is served first.
     pub rank: TierRank,
-    /// Least share of a saturated queue that the tier keeps, in percent, so that it never starves.
+    /// Minimum share of a saturated queue for this tier, in percent, which prevents starvation.
     pub floor_percent: u8,
-    /// Timeout of a request that names none, in milliseconds.
+    /// Timeout of a request that sets none, in milliseconds.
     pub timeout_ms: u32,
-    /// Requests of this tier that may wait at one target.
+    /// Maximum number of requests of this tier that wait at one target.
     pub max_waiting: u32,
 }
 
-/// A caller and the tier it pays for.
+/// A caller, identified by its key, and its tier.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Caller {
@@ -125,24 +125,25 @@
     pub name: CallerName,
     /// SHA-256 of the caller's key, lower-case hexadecimal. The key itself is never declared.
     pub key_sha256: Box<str>,
-    /// The caller's tier.
+    /// Name of a declared tier.
     pub tier: TierName,
 }
 
-/// A plain service that stands beside the engines.
+/// A plain service.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Service {
-    /// Callers reach it under `/services/NAME/`.
+    /// Requests reach the service under `/services/NAME/`.
     pub name: ServiceName,
-    /// Calls that a target may run at once.
+    /// Maximum number of calls that one target runs at once.
     pub concurrency: u16,
-    /// The longest matching prefix decides; no match means not repeatable.
+    /// Sorted by method and prefix. The longest matching prefix decides; without a match a call is
+    /// not repeatable.
     pub routes: Vec<ServiceRoute>,
 }
 
 impl Service {
-    /// Tells whether a call may be repeated, by the longest prefix that matches.
+    /// Returns whether a call may be repeated, by the longest matching prefix.
     pub fn repeatable(&self, method: &str, path: &str) -> bool {
         self.routes
             .iter()
@@ -152,7 +153,7 @@
     }
 }
 
-/// Which calls of a service may be repeated.
+/// Whether calls of one method and path prefix may be repeated.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ServiceRoute {
@@ -164,15 +165,15 @@
     pub repeatable: bool,
 }
 
-/// Weights of the decisions, different for each deployment.
+/// Parameters of scheduling decisions, different for each deployment.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Policy {
-    /// When an idle model is unloaded.
+    /// Rules for unloading idle models.
     pub keep: KeepPolicy,
-    /// What the weight store allows.
+    /// Limits of the weight store.
     pub weight_store: WeightStore,
-    /// Requests one engine runs at once; more wait in the agent.
+    /// Maximum number of requests that one engine runs at once; others wait in the agent.
     pub engine_concurrency: u16,
 }
 
@@ -186,15 +187,16 @@
     }
 }
 
-/// How tail cold start is weighed against idle accelerator hours.
+/// Trade-off between cold starts and idle accelerator time.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct KeepPolicy {
-    /// How many idle accelerator seconds one second of cold start is worth. Larger keeps longer.
+    /// Idle accelerator seconds that are worth one second of cold start. A larger value keeps idle
+    /// models longer.
     pub cold_start_weight: f64,
-    /// An idle model is kept at least so long, in milliseconds.
+    /// Minimum time for which an idle model stays loaded, in milliseconds.
     pub min_idle_ms: u32,
-    /// An idle model is kept at most so long, in milliseconds.
+    /// Maximum time for which an idle model stays loaded, in milliseconds.
     pub max_idle_ms: u32,
 }
 
@@ -208,13 +210,13 @@
     }
 }
 
-/// What the weight store allows to all targets together.
+/// Limits of the weight store for all targets together.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct WeightStore {
-    /// Loads that may start a second.
+    /// Maximum number of loads that start in one second.
     pub loads_per_second: f64,
-    /// Loads that run at full speed at once.
+    /// Number of concurrent loads up to which each runs at full speed.
     pub full_speed_loads: u16,
 }
 
--- a/crates/stair-config/src/yaml.rs
+++ b/crates/stair-config/src/yaml.rs
@@ -1,7 +1,7 @@
-//! YAML text as a tree whose nodes know their lines.
+//! Decodes YAML text into a tree with line numbers.
 //!
-//! Decoding straight into structs would stop at the first wrong field. The tree is checked field
-//! by field instead, so that an operator sees everything that is wrong at once.
+//! Decoding into structs would stop at the first invalid field. The tree is checked field by field
+//! instead, so that one run reports all problems.
 
 use std::{
     fmt,
@@ -29,9 +29,9 @@
     Problems, //
 };
 
-/// Nesting of a file. Settings and declarations need six levels. The decoder's own limit of 2,000
-/// overflows the stack, which ends the process without a word to the operator; in a build without
-/// optimisation 60 levels overflow a thread's two megabytes.
+/// Maximum nesting of a file. Settings and declarations need six levels. The decoder's default
+/// limit of 2,000 overflows the stack, which aborts the process without an error message; in a
+/// build without optimisation 60 levels overflow a thread's stack of two megabytes.
 const MAX_DEPTH: usize = 16;
 
 fn options() -> Options {
@@ -42,21 +42,21 @@
     opts
 }
 
-/// A file as read.
+/// A decoded file before its checks.
 #[derive(Debug, Clone)]
 pub struct Document {
     /// The file, as the operator named it.
     pub file: Box<str>,
-    /// The file's content.
+    /// The root of the tree.
     pub(crate) root: Node,
 }
 
 impl Document {
-    /// Decodes YAML text; `file` is the name for error texts.
+    /// Decodes YAML text; problems name `file` as their place.
     ///
     /// # Errors
     ///
-    /// When the text is not YAML.
+    /// One problem if the text is not valid YAML, repeats a key or exceeds the decoder's limits.
     pub fn parse(file: &str, text: &str) -> Result<Self, Problems> {
         let root = if text.trim().is_empty() {
             Ok(Node::empty())
@@ -89,7 +89,7 @@
     ///
     /// # Errors
     ///
-    /// When the file cannot be read or is not YAML.
+    /// One problem if the file cannot be read, or any error of [`Document::parse`].
     pub fn read(path: &Path) -> Result<Self, Problems> {
         let file = path.display().to_string();
         match std::fs::read_to_string(path) {
@@ -108,7 +108,7 @@
     }
 }
 
-/// A value and its line.
+/// A value and its line, from 1.
 #[derive(Debug, Clone)]
 pub(crate) struct Node {
     pub(crate) line: u64,
@@ -141,7 +141,7 @@
     pub(crate) node: Node,
 }
 
-/// What YAML can hold.
+/// A YAML value.
 #[derive(Debug, Clone)]
 pub(crate) enum Value {
     Null,
--- a/crates/stair-config/tests/bad_files.rs
+++ b/crates/stair-config/tests/bad_files.rs
@@ -1,4 +1,4 @@
-//! What an operator reads about files that are wrong.
+//! The texts of the problems that invalid files report.
 
 use stair_config::{
     AgentSettings,
--- a/crates/stair-config/tests/chunks.rs
+++ b/crates/stair-config/tests/chunks.rs
@@ -1,4 +1,4 @@
-//! Cutting a catalogue into chunks and joining them.
+//! Splitting a catalogue into chunks, joining them, and the text of a difference.
 
 use std::path::Path;
 
@@ -67,8 +67,8 @@
     assert_eq!(join(&chunks).unwrap(), all);
 }
 
-// The platform's store is restored from an old copy, or someone edits a chunk by hand. A process
-// that took it over would serve models that nobody applied; it says so instead.
+// After a restore from an old copy or an edit by hand, a chunk's content does not match its name. A
+// process that accepted it would serve a catalogue that was never applied.
 #[test]
 fn foreign_content() {
     let mut chunks = split(&catalogue()).unwrap();
@@ -77,7 +77,7 @@
     assert!(matches!(join(&chunks), Err(Error::WrongHash { .. })));
 }
 
-// A chunk is missing or listed twice in the manifest, so that tiers or models are not as applied.
+// A manifest that omits a chunk or lists it twice yields a catalogue other than the applied one.
 #[test]
 fn missing_chunk() {
     let mut chunks = split(&catalogue()).unwrap();
--- a/crates/stair-config/tests/examples.rs
+++ b/crates/stair-config/tests/examples.rs
@@ -1,4 +1,4 @@
-//! The sample files under `examples/` are right and have the sizes of the deployments they show.
+//! The sample files under `examples/` are valid and have the sizes of their deployments.
 
 use std::path::{
     Path,
--- a/crates/stair-config/tests/random_text.rs
+++ b/crates/stair-config/tests/random_text.rs
@@ -1,4 +1,4 @@
-//! Whatever stands in a file or a chunk, reading it ends with a value or a list of problems.
+//! Reading a file or a chunk with arbitrary content returns a value or an error and never panics.
 
 use proptest::{
     prelude::*,
@@ -17,7 +17,7 @@
     },
 };
 
-/// Reads a text as every kind of file.
+/// Reads a text as settings of both kinds and as declarations.
 fn read_as_all(text: &str) {
     let Ok(document) = Document::parse("a.yaml", text) else {
         return;
@@ -27,7 +27,7 @@
     let _ = Catalogue::try_from(Declarations::new(vec![document.clone(), document]));
 }
 
-/// Values of fields, good and bad ones.
+/// Valid and invalid values of fields.
 fn value() -> impl Strategy<Value = Value> {
     let leaf = prop_oneof![
         Just(Value::Null),
@@ -85,7 +85,7 @@
         read_as_all(&value.to_string());
     }
 
-    // A chunk's hash fits and its content does not.
+    // The hash of each chunk matches, but its content is not part of a catalogue.
     #[test]
     fn any_chunks(values in prop::collection::vec(value(), 0..4)) {
         let chunks: Vec<Chunk> = values
@@ -99,8 +99,8 @@
     }
 }
 
-// A few lines stand for a document of some gigabytes, or for one so deep that it exhausts the
-// stack.
+// A file of a few lines expands to gigabytes through nested aliases, or nests deeply enough to
+// overflow the stack.
 #[test]
 fn small_bombs() {
     let mut aliases = String::from("a0: &a0 [x, x, x, x, x, x, x, x, x]\n");
