--- a/crates/stair-config/src/fields.rs
+++ b/crates/stair-config/src/fields.rs
@@ -1,7 +1,7 @@
 //! Checked access to the fields of a map in an operator's file.
 //!
-//! A method that finds a problem adds it to the list and returns `None`. Its user goes on with the
-//! other fields, so that one run reports all problems of a file.
+//! A method that finds a problem adds it to the list and returns `None`. The calling code continues
+//! with the other fields, so that one run reports all problems of a file.
 
 use std::{
     fmt::Display,
--- a/crates/stair-config/src/problem.rs
+++ b/crates/stair-config/src/problem.rs
@@ -40,7 +40,7 @@
 
 /// The errors found in one or more files.
 ///
-/// Unsorted while they are collected; a returned `Err` is sorted by file, then line.
+/// Functions of this crate return them in the order of files and lines.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Problems(Vec<Problem>);
 
--- a/crates/stair-config/tests/bad_files.rs
+++ b/crates/stair-config/tests/bad_files.rs
@@ -62,6 +62,8 @@
     Catalogue::try_from(Declarations::new(files.iter().map(parse).collect()))
 }
 
+// One run reports the problems of all files. A key written in place of its hash must not appear in
+// the report, which may end up in a log.
 #[test]
 fn bad_declarations() {
     let problems = declared(&[("a.yaml", MODELS), ("b.yaml", OTHERS)]).unwrap_err();
@@ -70,6 +72,7 @@
     insta::assert_snapshot!(text);
 }
 
+// Every missing field is reported at the line of its item.
 #[test]
 fn missing_fields() {
     let text = "models: [{}]\ntiers: [{}]\ncallers: [{}]\nservices: [{}]\n";
@@ -82,18 +85,21 @@
     insta::assert_snapshot!(problems);
 }
 
+// A decoder that takes the last of two equal keys would silently drop the items of the first.
 #[test]
 fn repeated_key() {
     let problems = Document::parse("a.yaml", "models: []\nmodels: []\n").unwrap_err();
     insta::assert_snapshot!(problems);
 }
 
+// NaN has no order and no JSON encoding, so the decoder rejects it.
 #[test]
 fn not_finite() {
     let problems = Document::parse("a.yaml", "policy:\n  weight: .nan\n").unwrap_err();
     insta::assert_snapshot!(problems);
 }
 
+// Invalid fields of an entry, then an agent with two targets, then one with invalid memory.
 #[test]
 fn bad_settings() {
     let text = r#"
@@ -130,6 +136,8 @@
     insta::assert_snapshot!(AgentSettings::try_from(&document).unwrap_err());
 }
 
+// Settings that are valid field by field but not together: two listeners at one address, an entry
+// among its own peers, an agent that publishes an unspecified address.
 #[test]
 fn same_address() {
     let tls = "tls: { authority: a.pem, certificate: c.pem, key: k.pem }";
--- a/crates/stair-config/tests/chunks.rs
+++ b/crates/stair-config/tests/chunks.rs
@@ -19,6 +19,7 @@
     declarations::read(&path).unwrap()
 }
 
+/// Returns the chunks that are missing from `others`.
 fn missing_from<'a>(chunks: &'a [Chunk], others: &[Chunk]) -> Vec<&'a Chunk> {
     let new = |c: &&Chunk| others.iter().all(|o| o.hash != c.hash);
     chunks.iter().filter(new).collect()
@@ -33,6 +34,7 @@
     assert_eq!(join(&chunks).unwrap(), before);
 }
 
+// A change of one model that moved others to new chunks would send them to every entry again.
 #[test]
 fn small_change() {
     let before = catalogue();
@@ -43,6 +45,7 @@
     assert_eq!(missing_from(&old, &new).len(), 1);
 }
 
+// 430 models with 15,910 adapters, the planned size: chunks stay far below the platform's limit.
 #[test]
 fn planned_size() {
     let base = catalogue();
