--- a/crates/dandelionstair/src/agent.rs
+++ b/crates/dandelionstair/src/agent.rs
@@ -10,7 +10,7 @@
 
 use crate::process;
 
-/// Runs an agent until it is told to stop.
+/// Runs an agent until a stop signal or a drain request.
 pub(crate) fn run(matches: &ArgMatches) -> anyhow::Result<ExitCode> {
     let settings = match process::settings(matches, read_settings::agent) {
         Ok(settings) => settings,
@@ -21,7 +21,7 @@
     let store = process::store(settings.platform);
     process::runtime()?.block_on(async {
         let mut stop = process::stop_signal()?;
-        // The start waits for the platform and for the engine, perhaps for long.
+        // The start may wait long for the platform and the target; a stop signal interrupts it.
         let agent = tokio::select! {
             agent = Agent::start(settings, keys, store) => agent?,
             _ = stop.wait_for(|s| *s) => return Ok(ExitCode::SUCCESS),
--- a/crates/dandelionstair/src/apply.rs
+++ b/crates/dandelionstair/src/apply.rs
@@ -35,7 +35,7 @@
     platform, //
 };
 
-/// Puts declarations in force, and waits until they are everywhere if asked to.
+/// Puts declarations in force; with `--wait`, waits until they are in force at all entries.
 pub(crate) fn run(matches: &ArgMatches) -> anyhow::Result<ExitCode> {
     let declared = match check::catalogue(matches)? {
         Ok(declared) => declared,
@@ -72,7 +72,7 @@
     Ok(wait_for_entries(&entries, version, deadline).await)
 }
 
-// Tells the operator the outcome; an exit code ends the command.
+// Prints the outcome. An `Err` is the exit code of the command.
 fn report(outcome: Outcome) -> Result<ConfigVersion, ExitCode> {
     match outcome {
         Outcome::Applied(version) => {
@@ -92,8 +92,8 @@
         }
         Outcome::Undetermined(version) => {
             eprintln!(
-                "unknown: the platform did not tell whether version {version} took effect. Look \
-                 by plan; applying the same files again does no harm."
+                "unknown: the platform did not confirm whether version {version} took effect. Run \
+                 plan to find out; applying the same files again is safe."
             );
             Err(exit::NOT_IN_TIME.into())
         }
@@ -131,7 +131,8 @@
     }
 }
 
-// A later version counts as well: it was applied on top of this one.
+// Returns the reason for which an entry is lagging. A later version is up to date too, since it
+// was applied on top of `version`.
 async fn lag(addr: SocketAddr, version: ConfigVersion) -> Option<String> {
     match operator::status(addr).await {
         Err(e) => Some(format!("{addr}: {e:#}")),
--- a/crates/dandelionstair/src/check.rs
+++ b/crates/dandelionstair/src/check.rs
@@ -17,7 +17,7 @@
 
 use crate::exit;
 
-/// Checks declarations or settings.
+/// Checks the file or directory at `PATH` as `--kind` and prints a summary or all problems.
 pub(crate) fn run(matches: &ArgMatches) -> anyhow::Result<ExitCode> {
     let path: &PathBuf = matches.get_one("path").context("PATH is missing")?;
     let kind: &String = matches.get_one("kind").context("--kind is missing")?;
@@ -39,7 +39,7 @@
     }
 }
 
-/// Reads declarations, or reports everything that is wrong with them.
+/// Reads declarations, or prints all their problems and returns the exit code.
 pub(crate) fn catalogue(matches: &ArgMatches) -> anyhow::Result<Result<Catalogue, ExitCode>> {
     let path: &PathBuf = matches.get_one("path").context("PATH is missing")?;
     Ok(declarations::read(path).map_err(|problems| report(&problems)))
--- a/crates/dandelionstair/src/dev.rs
+++ b/crates/dandelionstair/src/dev.rs
@@ -19,7 +19,7 @@
 
 use crate::process;
 
-/// Runs a small deployment with stand-ins until it is told to stop.
+/// Runs a small deployment with stand-ins until a stop signal.
 pub(crate) fn run(matches: &ArgMatches) -> anyhow::Result<ExitCode> {
     log::init(&TelemetrySettings {
         level: LogLevel::Warn,
@@ -36,7 +36,7 @@
             _ = stop.wait_for(|s| *s) => return Ok(ExitCode::SUCCESS),
         };
         print_addresses(&deployment);
-        // The sender ends only after it has turned the value.
+        // The sender sets the value before it is dropped, so an error needs no handling.
         let _ = stop.wait_for(|s| *s).await;
         eprintln!("stopping");
         deployment.stop().await?;
--- a/crates/dandelionstair/src/drain.rs
+++ b/crates/dandelionstair/src/drain.rs
@@ -25,7 +25,7 @@
     }, //
 };
 
-/// Starts the planned stop of a process, and waits for its end if asked to.
+/// Starts the drain of a process; with `--wait`, waits until the process has ended.
 pub(crate) fn run(matches: &ArgMatches) -> anyhow::Result<ExitCode> {
     let addr = operator::addr(matches)?;
     let wait = matches.get_flag("wait");
@@ -45,7 +45,7 @@
     })
 }
 
-// Only a refused connection shows that the process has ended. Silence may as well be a broken
+// Only a refused connection proves that the process has ended. A timeout may be due to a broken
 // network, behind which requests are still running.
 async fn ended(addr: SocketAddr, deadline: Instant) -> bool {
     loop {
--- a/crates/dandelionstair/src/dump.rs
+++ b/crates/dandelionstair/src/dump.rs
@@ -7,7 +7,7 @@
 
 use crate::operator;
 
-/// Prints the whole state of a process.
+/// Prints the state dump of a process as indented JSON.
 pub(crate) fn run(matches: &ArgMatches) -> anyhow::Result<ExitCode> {
     let addr = operator::addr(matches)?;
     let dump = operator::runtime()?.block_on(operator::call(addr, Method::GET, "/dump"))?;
--- a/crates/dandelionstair/src/entry.rs
+++ b/crates/dandelionstair/src/entry.rs
@@ -10,7 +10,7 @@
 
 use crate::process;
 
-/// Runs an entry until it is told to stop.
+/// Runs an entry until a stop signal or a drain request.
 pub(crate) fn run(matches: &ArgMatches) -> anyhow::Result<ExitCode> {
     let settings = match process::settings(matches, read_settings::entry) {
         Ok(settings) => settings,
--- a/crates/dandelionstair/src/exit.rs
+++ b/crates/dandelionstair/src/exit.rs
@@ -1,13 +1,13 @@
 //! Exit codes, as `--help` documents them.
 
-/// A command failed; its last line says why.
+/// The command failed; its last line states the reason.
 pub(crate) const FAILED: u8 = 1;
 
-/// The command line or a file is wrong. Clap uses the same code.
+/// The command line or a file is invalid. Clap uses the same code.
 pub(crate) const USAGE: u8 = 2;
 
-/// Another operator's apply came first.
+/// Another apply took effect first.
 pub(crate) const CONFLICT: u8 = 3;
 
-/// Not finished in time, or it is unknown whether an apply took effect.
+/// The command did not finish in time, or it is unknown whether an apply took effect.
 pub(crate) const NOT_IN_TIME: u8 = 4;
--- a/crates/dandelionstair/src/explain.rs
+++ b/crates/dandelionstair/src/explain.rs
@@ -1,4 +1,4 @@
-//! `dandelionstair explain`: one request's story out of the logs of several processes.
+//! `dandelionstair explain`: the events of one request from the logs of several processes.
 
 use std::{
     path::{
@@ -17,6 +17,7 @@
 
 use crate::exit;
 
+/// Prints the events of a request in order of time.
 pub(crate) fn run(matches: &ArgMatches) -> anyhow::Result<ExitCode> {
     let (Some(id), Some(files)) = (
         matches.get_one::<String>("id"),
@@ -37,12 +38,14 @@
     Ok(ExitCode::SUCCESS)
 }
 
+/// Reads a log file as text.
 pub(crate) fn read_log(path: &Path) -> anyhow::Result<String> {
     let bytes = std::fs::read(path).with_context(|| format!("cannot read {}", path.display()))?;
-    // A line that was cut by a kill need not be text; the others are.
+    // Only a line truncated by a kill can be invalid UTF-8.
     Ok(String::from_utf8_lossy(&bytes).into_owned())
 }
 
+// Formats a step with its time since `first`.
 fn format_step(first: &Step, step: &Step) -> String {
     let ms = (step.at - first.at) * 1000.0;
     let fields = step.fields.join(" ");
--- a/crates/dandelionstair/src/losses.rs
+++ b/crates/dandelionstair/src/losses.rs
@@ -1,4 +1,4 @@
-//! `dandelionstair losses`: what clients did not get in time, by route and reason.
+//! `dandelionstair losses`: counts requests that were not served in time, by route and reason.
 
 use std::{
     path::PathBuf,
@@ -16,6 +16,7 @@
     explain::read_log, //
 };
 
+/// Prints the counts; with `--models`, a row for each model.
 pub(crate) fn run(matches: &ArgMatches) -> anyhow::Result<ExitCode> {
     let Some(files) = matches.get_many::<PathBuf>("files") else {
         return Ok(exit::USAGE.into());
@@ -39,7 +40,7 @@
     Ok(ExitCode::SUCCESS)
 }
 
-/// Adds up the models of a route.
+/// Sums the counts of all models of a route, for each end.
 fn sum_models(mut rows: Vec<Row>) -> Vec<Row> {
     rows.sort_by(|a, b| (&a.route, &a.end).cmp(&(&b.route, &b.end)));
     rows.chunk_by(|a, b| a.route == b.route && a.end == b.end)
--- a/crates/dandelionstair/src/main.rs
+++ b/crates/dandelionstair/src/main.rs
@@ -1,6 +1,7 @@
 //! dandelionstair serves a large catalogue of rarely used models on a shared pool of accelerators.
 //!
-//! One binary with all programs: a module a verb, and [`cli`] with the whole command line.
+//! One binary contains all programs. Each subcommand has a module; [`cli`] defines the whole command
+//! line.
 #![forbid(unsafe_code)]
 
 mod agent;
@@ -52,7 +53,7 @@
         Some(("losses", m)) => losses::run(m),
         Some(("dump", m)) => dump::run(m),
         Some(("drain", m)) => drain::run(m),
-        // Clap asks for a subcommand and knows no others.
+        // Unreachable: clap requires a subcommand and rejects unknown ones.
         _ => Ok(exit::USAGE.into()),
     }
 }
--- a/crates/dandelionstair/src/operator.rs
+++ b/crates/dandelionstair/src/operator.rs
@@ -1,4 +1,4 @@
-//! Calls to the operator's listener of a process.
+//! Requests to the operator listener of a process, and arguments that several commands share.
 
 use std::{
     net::SocketAddr,
@@ -30,26 +30,27 @@
     time::Instant, //
 };
 
-/// Longer than the listener itself waits for its process.
+/// Timeout of a response; longer than the listener's own wait for its process.
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// A dump of a process with all models and adapters has a few megabytes.
+/// Maximum size of a response, in bytes. A dump of a process with all models and adapters has a few
+/// megabytes.
 const MAX_RESPONSE_BYTES: usize = 256 << 20;
 
-/// Pause between two looks at a process.
+/// Interval between two requests while waiting for a process.
 pub(crate) const POLL_INTERVAL: Duration = Duration::from_millis(250);
 
-/// What `GET /status` answers, as far as commands need it.
+/// The fields of the response to `GET /status` that commands need.
 #[derive(Debug, Clone, PartialEq, Eq, Deserialize)]
 pub(crate) struct Status {
     /// The version of the configuration in force.
     pub(crate) config: u64,
-    /// Agents that the entry has not yet seen to have the version.
+    /// Number of agents that have not reported this version to the entry.
     #[serde(default)]
     pub(crate) agents_behind: u64,
 }
 
-/// Makes the runtime of a command.
+/// Creates the single-threaded runtime of a command.
 pub(crate) fn runtime() -> anyhow::Result<Runtime> {
     Builder::new_current_thread()
         .enable_all()
@@ -63,19 +64,24 @@
     addr.copied().context("ADDR is missing")
 }
 
-/// Returns the instant at which `--timeout` has passed.
+/// Returns the instant at which `--timeout` expires, counted from now.
 pub(crate) fn deadline(matches: &ArgMatches) -> anyhow::Result<Instant> {
     Ok(Instant::now() + timeout(matches)?)
 }
 
-/// Returns `--timeout`.
+/// Returns the duration of `--timeout`.
 pub(crate) fn timeout(matches: &ArgMatches) -> anyhow::Result<Duration> {
     let seconds: Option<&u64> = matches.get_one("timeout");
     let seconds = seconds.context("--timeout is missing")?;
     Ok(Duration::from_secs(*seconds))
 }
 
-/// Calls a page of a process.
+/// Sends a request without a body to a process and returns the JSON of the response.
+///
+/// # Errors
+///
+/// If the process cannot be reached, does not respond in time, or responds with an error status or
+/// something other than JSON.
 pub(crate) async fn call(addr: SocketAddr, method: Method, path: &str) -> anyhow::Result<Value> {
     let req = Request::builder()
         .method(method)
@@ -93,10 +99,10 @@
         .await
         .with_context(what)?;
     let value: Value = serde_json::from_slice(&body)
-        .with_context(|| format!("the process at {addr} answered something other than JSON"))?;
+        .with_context(|| format!("the response of the process at {addr} is not JSON"))?;
     if !status.is_success() {
         let error = value["error"].as_str().unwrap_or("no reason given");
-        bail!("the process at {addr} answered {status}: {error}");
+        bail!("the process at {addr} responded with {status}: {error}");
     }
     Ok(value)
 }
--- a/crates/dandelionstair/src/plan.rs
+++ b/crates/dandelionstair/src/plan.rs
@@ -18,7 +18,7 @@
     platform, //
 };
 
-/// Prints what an apply would change.
+/// Prints the difference between the catalogue in force and the declarations.
 pub(crate) fn run(matches: &ArgMatches) -> anyhow::Result<ExitCode> {
     let declared = match check::catalogue(matches)? {
         Ok(declared) => declared,
--- a/crates/dandelionstair/src/platform.rs
+++ b/crates/dandelionstair/src/platform.rs
@@ -1,4 +1,4 @@
-//! The platform, as the operator's verbs reach it.
+//! The client of the platform for operators' commands.
 
 use std::net::SocketAddr;
 
@@ -8,7 +8,7 @@
 
 use crate::process;
 
-/// Returns the store at `--platform`.
+/// Returns a client of the object store at `--platform`.
 pub(crate) fn store(matches: &ArgMatches) -> anyhow::Result<HttpStore> {
     let addr: &SocketAddr = matches
         .get_one("platform")
--- a/crates/dandelionstair/src/process.rs
+++ b/crates/dandelionstair/src/process.rs
@@ -1,4 +1,4 @@
-//! What the long-running programs share: runtime, signals, keys, platform.
+//! Shared setup of the long-running programs: settings, runtimes, signals, keys, platform.
 
 use std::{
     io::Write,
@@ -40,8 +40,8 @@
 
 use crate::exit;
 
-/// Threads for traffic. Entry VMs are thin, and an agent shares its VM with an engine that needs
-/// the other cores.
+/// Threads for traffic. Entry VMs have few cores, and an agent shares its VM with an engine that
+/// needs the other cores.
 const TRAFFIC_THREADS: usize = 2;
 
 /// Reads the file of `--settings`, or prints every problem in it and returns the exit code.
@@ -58,7 +58,7 @@
     })
 }
 
-/// Makes the runtime for traffic.
+/// Creates the runtime for traffic, with [`TRAFFIC_THREADS`] threads.
 pub(crate) fn runtime() -> anyhow::Result<Runtime> {
     Builder::new_multi_thread()
         .worker_threads(TRAFFIC_THREADS)
@@ -68,8 +68,8 @@
         .context("the runtime cannot be started")
 }
 
-/// Makes the runtime of a process that has a fifth of a core: one thread, since a second one would
-/// only add switches between the two.
+/// Creates the runtime of a process that has a fifth of a core. It has one thread, since a second
+/// one would only add context switches.
 pub(crate) fn single_thread_runtime() -> anyhow::Result<Runtime> {
     Builder::new_current_thread()
         .enable_all()
@@ -77,18 +77,18 @@
         .context("the runtime cannot be started")
 }
 
-/// Reads the keys for links.
+/// Reads the keys for links from their PEM files.
 pub(crate) fn keys(tls: &TlsSettings) -> anyhow::Result<Keys> {
     Ok(Keys::read(&tls.authority, &tls.certificate, &tls.key)?)
 }
 
-/// Makes the client of the platform.
+/// Creates a client of the platform's object store.
 pub(crate) fn store(addr: SocketAddr) -> HttpStore {
     HttpStore::new(addr, http::Options::default())
 }
 
-/// Turns true on SIGTERM or SIGINT. Both are handled from here on, so that one that comes during
-/// the start is not lost.
+/// Returns a value that becomes true on SIGTERM or SIGINT. The handlers are installed before this
+/// function returns, so that a signal during the start is not lost.
 pub(crate) fn stop_signal() -> anyhow::Result<watch::Receiver<bool>> {
     let mut terminate = signal(SignalKind::terminate())?;
     let mut interrupt = signal(SignalKind::interrupt())?;
@@ -99,13 +99,13 @@
             _ = interrupt.recv() => {}
         }
         tx.send_replace(true);
-        // The receivers see the value also after the sender is gone.
+        // Receivers still read the value after the sender is dropped.
     });
     Ok(rx)
 }
 
-/// Settings that follow their file: it is read again on SIGHUP. A file with problems changes nothing,
-/// and all its problems are logged.
+/// Returns settings that are read again from their file on SIGHUP. If the file has problems, all of
+/// them are logged and the settings stay as they are.
 pub(crate) fn reload_on_hangup<T, F>(
     matches: &ArgMatches,
     first: T,
@@ -138,7 +138,7 @@
     Ok(rx)
 }
 
-/// Prints one line of JSON with the addresses that were bound, for whoever supervises the process.
+/// Prints one line of JSON with the bound addresses, for the supervisor of the process.
 pub(crate) fn print_ready(addresses: &Value) -> anyhow::Result<()> {
     let mut out = std::io::stdout().lock();
     writeln!(out, "{}", json!({ "ready": addresses }))?;
--- a/crates/dandelionstair/src/sidecar.rs
+++ b/crates/dandelionstair/src/sidecar.rs
@@ -8,6 +8,7 @@
 
 use crate::process;
 
+/// Runs a sidecar until a stop signal.
 pub(crate) fn run(matches: &ArgMatches) -> anyhow::Result<ExitCode> {
     let settings = match process::settings(matches, fleet_settings::sidecar) {
         Ok(settings) => settings,
--- a/crates/dandelionstair/src/status.rs
+++ b/crates/dandelionstair/src/status.rs
@@ -13,7 +13,8 @@
     operator, //
 };
 
-/// Prints one line of JSON for each process.
+/// Prints one line for each process: its address, then its status as JSON or an error. Fails if any
+/// process fails.
 pub(crate) fn run(matches: &ArgMatches) -> anyhow::Result<ExitCode> {
     let addrs = matches.get_many::<SocketAddr>("operator");
     let runtime = operator::runtime()?;
