--- a/crates/dandelionstair/src/apply.rs
+++ b/crates/dandelionstair/src/apply.rs
@@ -30,12 +30,12 @@
     exit,
     operator::{
         self,
-        PAUSE, //
+        POLL_INTERVAL, //
     },
     platform, //
 };
 
-/// Puts declarations in force, and waits until they are everywhere if asked to.
+/// Puts declarations in force; with `--wait`, waits until they are in force at all entries.
 pub(crate) fn run(matches: &ArgMatches) -> anyhow::Result<ExitCode> {
     let declared = match check::catalogue(matches)? {
         Ok(declared) => declared,
@@ -57,7 +57,7 @@
     let opts = Options {
         apply_id: ApplyId(format!("{:032x}", rand::random::<u128>()).into()),
         from: from.copied().map(ConfigVersion),
-        patience: operator::patience(matches)?,
+        patience: operator::timeout(matches)?,
     };
     let deadline = operator::deadline(matches)?;
     let version = match report(apply(store, declared, &opts).await?) {
@@ -69,10 +69,10 @@
     }
     let entries = matches.get_many::<SocketAddr>("entry");
     let entries: Vec<SocketAddr> = entries.context("--entry is missing")?.copied().collect();
-    Ok(wait(&entries, version, deadline).await)
+    Ok(wait_for_entries(&entries, version, deadline).await)
 }
 
-// Tells the operator the outcome; an exit code ends the command.
+// Prints the outcome. An `Err` is the exit code of the command.
 fn report(outcome: Outcome) -> Result<ConfigVersion, ExitCode> {
     match outcome {
         Outcome::Applied(version) => {
@@ -92,29 +92,33 @@
         }
         Outcome::Undetermined(version) => {
             eprintln!(
-                "unknown: the platform did not tell whether version {version} took effect. Look \
-                 by plan; applying the same files again does no harm."
+                "unknown: the platform did not confirm whether version {version} took effect. Run \
+                 plan to find out; applying the same files again is safe."
             );
             Err(exit::NOT_IN_TIME.into())
         }
     }
 }
 
-async fn wait(entries: &[SocketAddr], version: ConfigVersion, deadline: Instant) -> ExitCode {
+async fn wait_for_entries(
+    entries: &[SocketAddr],
+    version: ConfigVersion,
+    deadline: Instant,
+) -> ExitCode {
     let mut shown = String::new();
     loop {
-        let mut behind = Vec::new();
+        let mut lagging = Vec::new();
         for addr in entries {
-            behind.extend(lag(*addr, version).await);
+            lagging.extend(lag(*addr, version).await);
         }
-        if behind.is_empty() {
+        if lagging.is_empty() {
             println!(
                 "Version {version} is in force at all {} entries.",
                 entries.len()
             );
             return ExitCode::SUCCESS;
         }
-        let text = behind.join("; ");
+        let text = lagging.join("; ");
         if text != shown {
             eprintln!("waiting: {text}");
             shown = text;
@@ -123,11 +127,12 @@
             eprintln!("version {version} is applied, but was not in force everywhere in time");
             return exit::NOT_IN_TIME.into();
         }
-        sleep(PAUSE).await;
+        sleep(POLL_INTERVAL).await;
     }
 }
 
-// A later version counts as well: it was applied on top of this one.
+// Returns the reason for which an entry is lagging. A later version is up to date too, since it
+// was applied on top of `version`.
 async fn lag(addr: SocketAddr, version: ConfigVersion) -> Option<String> {
     match operator::status(addr).await {
         Err(e) => Some(format!("{addr}: {e:#}")),
--- a/crates/dandelionstair/src/dev.rs
+++ b/crates/dandelionstair/src/dev.rs
@@ -19,7 +19,7 @@
 
 use crate::process;
 
-/// Runs a small deployment with stand-ins until it is told to stop.
+/// Runs a small deployment with stand-ins until a stop signal.
 pub(crate) fn run(matches: &ArgMatches) -> anyhow::Result<ExitCode> {
     log::init(&TelemetrySettings {
         level: LogLevel::Warn,
@@ -35,8 +35,8 @@
             started = Deployment::start(opts) => started?,
             _ = stop.wait_for(|s| *s) => return Ok(ExitCode::SUCCESS),
         };
-        introduce(&deployment);
-        // The sender ends only after it has turned the value.
+        print_addresses(&deployment);
+        // The sender sets the value before it is dropped, so an error needs no handling.
         let _ = stop.wait_for(|s| *s).await;
         eprintln!("stopping");
         deployment.stop().await?;
@@ -44,7 +44,7 @@
     })
 }
 
-fn introduce(deployment: &Deployment) {
+fn print_addresses(deployment: &Deployment) {
     for entry in &deployment.entries {
         let addresses = entry.addresses();
         println!(
--- a/crates/dandelionstair/src/drain.rs
+++ b/crates/dandelionstair/src/drain.rs
@@ -21,11 +21,11 @@
     exit,
     operator::{
         self,
-        PAUSE, //
+        POLL_INTERVAL, //
     }, //
 };
 
-/// Starts the planned stop of a process, and waits for its end if asked to.
+/// Starts the drain of a process; with `--wait`, waits until the process has ended.
 pub(crate) fn run(matches: &ArgMatches) -> anyhow::Result<ExitCode> {
     let addr = operator::addr(matches)?;
     let wait = matches.get_flag("wait");
@@ -45,13 +45,13 @@
     })
 }
 
-// Only a refused connection shows that the process has ended. Silence may as well be a broken
+// Only a refused connection proves that the process has ended. A timeout may be due to a broken
 // network, behind which requests are still running.
 async fn ended(addr: SocketAddr, deadline: Instant) -> bool {
     loop {
         match timeout_at(deadline, TcpStream::connect(addr)).await {
             Ok(Err(e)) if e.kind() == ErrorKind::ConnectionRefused => return true,
-            Ok(_) if Instant::now() < deadline => sleep(PAUSE).await,
+            Ok(_) if Instant::now() < deadline => sleep(POLL_INTERVAL).await,
             _ => return false,
         }
     }
--- a/crates/dandelionstair/src/explain.rs
+++ b/crates/dandelionstair/src/explain.rs
@@ -1,4 +1,4 @@
-//! `dandelionstair explain`: one request's story out of the logs of several processes.
+//! `dandelionstair explain`: the events of one request from the logs of several processes.
 
 use std::{
     path::{
@@ -17,6 +17,7 @@
 
 use crate::exit;
 
+/// Prints the events of a request in order of time.
 pub(crate) fn run(matches: &ArgMatches) -> anyhow::Result<ExitCode> {
     let (Some(id), Some(files)) = (
         matches.get_one::<String>("id"),
@@ -24,7 +25,7 @@
     ) else {
         return Ok(exit::USAGE.into());
     };
-    let texts: Vec<String> = files.map(|f| read(f)).collect::<Result<_, _>>()?;
+    let texts: Vec<String> = files.map(|f| read_log(f)).collect::<Result<_, _>>()?;
     let lines: Vec<&str> = texts.iter().flat_map(|t| t.lines()).collect();
     let steps = story(lines.iter().copied(), id);
     let Some(first) = steps.first() else {
@@ -32,18 +33,20 @@
         return Ok(exit::FAILED.into());
     };
     for step in &steps {
-        println!("{}", line(first, step));
+        println!("{}", format_step(first, step));
     }
     Ok(ExitCode::SUCCESS)
 }
 
-pub(crate) fn read(path: &Path) -> anyhow::Result<String> {
+/// Reads a log file as text.
+pub(crate) fn read_log(path: &Path) -> anyhow::Result<String> {
     let bytes = std::fs::read(path).with_context(|| format!("cannot read {}", path.display()))?;
-    // A line that was cut by a kill need not be text; the others are.
+    // Only a line truncated by a kill can be invalid UTF-8.
     Ok(String::from_utf8_lossy(&bytes).into_owned())
 }
 
-fn line(first: &Step, step: &Step) -> String {
+// Formats a step with its time since `first`.
+fn format_step(first: &Step, step: &Step) -> String {
     let ms = (step.at - first.at) * 1000.0;
     let fields = step.fields.join(" ");
     format!(
--- a/crates/dandelionstair/src/plan.rs
+++ b/crates/dandelionstair/src/plan.rs
@@ -18,7 +18,7 @@
     platform, //
 };
 
-/// Prints what an apply would change.
+/// Prints the difference between the catalogue in force and the declarations.
 pub(crate) fn run(matches: &ArgMatches) -> anyhow::Result<ExitCode> {
     let declared = match check::catalogue(matches)? {
         Ok(declared) => declared,
@@ -26,11 +26,11 @@
     };
     let store = platform::store(matches)?;
     let in_force = operator::runtime()?.block_on(load::load(&store))?;
-    let (version, present) = match in_force {
+    let (version, current) = match in_force {
         Some(found) => (found.version, found.catalogue),
         None => (INITIAL_VERSION, Catalogue::default()),
     };
-    println!("{}", Diff::between(&present, &declared));
+    println!("{}", Diff::between(&current, &declared));
     println!("Version {version} is in force; apply with --from {version}.");
     Ok(ExitCode::SUCCESS)
 }
--- a/crates/stair-config/src/check.rs
+++ b/crates/stair-config/src/check.rs
@@ -1,4 +1,4 @@
-//! The rules of each declared item, and of all together.
+//! The checks of declarations: of each item, then across items.
 
 use stair_types::{
     CallerName,
@@ -48,11 +48,12 @@
 const KEEP_FIELDS: [&str; 3] = ["cold_start_weight", "min_idle_ms", "max_idle_ms"];
 const STORE_FIELDS: [&str; 2] = ["loads_per_second", "full_speed_loads"];
 
-/// 4 TiB: above any accelerator, and far below an overflow when a target's models are summed up.
+/// 4 TiB: more than any accelerator has, and low enough that the sum over a target's models does
+/// not overflow.
 const MAX_MEMORY_MIB: u32 = 4 << 20;
 
-/// A model with its adapters is one piece of a chunk, and a chunk must stay below the platform's
-/// megabyte: 2,000 adapters with names and versions of 128 bytes take about 650 KB.
+/// A model and its adapters are always in one chunk, and a chunk must stay below the platform's
+/// limit of a megabyte: 2,000 adapters with names and versions of 128 bytes take about 650 KB.
 const MAX_ADAPTERS: usize = 2_000;
 
 const MAX_REPLICAS: u16 = 20_000;
@@ -66,30 +67,32 @@
 const MAX_FLOORS_PERCENT: u32 = 100;
 const METHODS: [&str; 7] = ["DELETE", "GET", "HEAD", "OPTIONS", "PATCH", "POST", "PUT"];
 
-/// An item and where it was declared.
-pub(crate) struct At<T> {
+/// An item and the place of its declaration.
+pub(crate) struct Located<T> {
     pub(crate) place: Place,
     pub(crate) item: T,
 }
 
-/// Items that are right one by one.
+/// Items of all files that passed their own checks, before the checks across items.
 #[derive(Default)]
 pub(crate) struct Declared {
-    pub(crate) models: Vec<At<Model>>,
-    pub(crate) tiers: Vec<At<Tier>>,
-    pub(crate) callers: Vec<At<Caller>>,
-    pub(crate) services: Vec<At<Service>>,
+    pub(crate) models: Vec<Located<Model>>,
+    pub(crate) tiers: Vec<Located<Tier>>,
+    pub(crate) callers: Vec<Located<Caller>>,
+    pub(crate) services: Vec<Located<Service>>,
     pub(crate) policy: Policy,
 }
 
-fn each<'a, T, F>(
+/// Checks each item of a list. `id` is the field to which checks across items assign their
+/// problems.
+fn check_items<'a, T, F>(
     problems: &mut Problems,
     parent: &Fields<'a>,
     list: &str,
     known: &[&str],
     id: &str,
     check: F,
-) -> Vec<At<T>>
+) -> Vec<Located<T>>
 where
     F: Fn(&mut Problems, &Fields<'a>) -> Option<T>,
 {
@@ -101,14 +104,14 @@
         };
         if let Some(item) = check(problems, &fields) {
             let place = fields.place(id);
-            all.push(At { place, item });
+            all.push(Located { place, item });
         }
     }
     all
 }
 
-pub(crate) fn models(problems: &mut Problems, top: &Fields<'_>) -> Vec<At<Model>> {
-    each(problems, top, "models", &MODEL_FIELDS, "name", model)
+pub(crate) fn models(problems: &mut Problems, top: &Fields<'_>) -> Vec<Located<Model>> {
+    check_items(problems, top, "models", &MODEL_FIELDS, "name", model)
 }
 
 fn model(problems: &mut Problems, fields: &Fields<'_>) -> Option<Model> {
@@ -117,7 +120,7 @@
     let memory_mib = fields.integer(problems, "memory_mib", 1..=MAX_MEMORY_MIB, None);
     let replicas = fields.integer(problems, "replicas", 1..=MAX_REPLICAS, None);
     let repeatable = fields.boolean(problems, "repeatable", Some(false));
-    let adapters = each(
+    let adapters = check_items(
         problems,
         fields,
         "adapters",
@@ -136,7 +139,7 @@
         memory_mib: memory_mib?,
         replicas: replicas?,
         repeatable: repeatable?,
-        adapters: sorted(problems, adapters, "adapter", |a| a.name.clone()),
+        adapters: sort_unique(problems, adapters, "adapter", |a| a.name.clone()),
     })
 }
 
@@ -151,8 +154,8 @@
     })
 }
 
-pub(crate) fn tiers(problems: &mut Problems, top: &Fields<'_>) -> Vec<At<Tier>> {
-    each(problems, top, "tiers", &TIER_FIELDS, "rank", tier)
+pub(crate) fn tiers(problems: &mut Problems, top: &Fields<'_>) -> Vec<Located<Tier>> {
+    check_items(problems, top, "tiers", &TIER_FIELDS, "rank", tier)
 }
 
 fn tier(problems: &mut Problems, fields: &Fields<'_>) -> Option<Tier> {
@@ -170,8 +173,8 @@
     })
 }
 
-pub(crate) fn callers(problems: &mut Problems, top: &Fields<'_>) -> Vec<At<Caller>> {
-    each(problems, top, "callers", &CALLER_FIELDS, "tier", caller)
+pub(crate) fn callers(problems: &mut Problems, top: &Fields<'_>) -> Vec<Located<Caller>> {
+    check_items(problems, top, "callers", &CALLER_FIELDS, "tier", caller)
 }
 
 fn caller(problems: &mut Problems, fields: &Fields<'_>) -> Option<Caller> {
@@ -185,19 +188,19 @@
     })
 }
 
-pub(crate) fn services(problems: &mut Problems, top: &Fields<'_>) -> Vec<At<Service>> {
-    each(problems, top, "services", &SERVICE_FIELDS, "name", service)
+pub(crate) fn services(problems: &mut Problems, top: &Fields<'_>) -> Vec<Located<Service>> {
+    check_items(problems, top, "services", &SERVICE_FIELDS, "name", service)
 }
 
 fn service(problems: &mut Problems, fields: &Fields<'_>) -> Option<Service> {
     let name = fields.name(problems, "name");
     let concurrency = fields.integer(problems, "concurrency", 1..=MAX_CONCURRENCY, None);
-    let routes = each(problems, fields, "routes", &ROUTE_FIELDS, "prefix", route);
+    let routes = check_items(problems, fields, "routes", &ROUTE_FIELDS, "prefix", route);
     let key = |r: &ServiceRoute| format!("{} {}", r.method, r.prefix);
     Some(Service {
         name: name?,
         concurrency: concurrency?,
-        routes: sorted(problems, routes, "route", key),
+        routes: sort_unique(problems, routes, "route", key),
     })
 }
 
@@ -292,26 +295,32 @@
     })
 }
 
-/// Checks what no item can be checked for alone, and makes the sorted catalogue.
-pub(crate) fn together(problems: &mut Problems, all: Declared) -> Catalogue {
-    tiers_of_callers(problems, &all);
-    let tiers = ranked(problems, all.tiers);
-    one_name_each(problems, &all.callers);
+/// Checks the rules across items and returns the sorted catalogue.
+pub(crate) fn build_catalogue(problems: &mut Problems, all: Declared) -> Catalogue {
+    check_caller_tiers(problems, &all);
+    let tiers = sort_tiers(problems, all.tiers);
+    check_caller_names(problems, &all.callers);
     Catalogue {
-        models: sorted(problems, all.models, "model", |m| m.name.clone()),
+        models: sort_unique(problems, all.models, "model", |m| m.name.clone()),
         tiers,
-        callers: sorted(problems, all.callers, "key", |c| c.key_sha256.clone()),
-        services: sorted(problems, all.services, "service", |s| s.name.clone()),
+        callers: sort_unique(problems, all.callers, "key", |c| c.key_sha256.clone()),
+        services: sort_unique(problems, all.services, "service", |s| s.name.clone()),
         policy: all.policy,
     }
 }
 
-fn sorted<T, K, F>(problems: &mut Problems, mut all: Vec<At<T>>, what: &str, key: F) -> Vec<T>
+/// Sorts items by their key and adds a problem for each duplicate.
+fn sort_unique<T, K, F>(
+    problems: &mut Problems,
+    mut all: Vec<Located<T>>,
+    what: &str,
+    key: F,
+) -> Vec<T>
 where
     F: Fn(&T) -> K,
     K: Ord,
 {
-    // The sort is stable, so the later of two equal ones is the one that is reported.
+    // The sort is stable, so the problem is reported for the later of two duplicates.
     all.sort_by_key(|at| key(&at.item));
     for pair in all.windows(2) {
         if key(&pair[0].item) == key(&pair[1].item) {
@@ -323,8 +332,8 @@
     all.into_iter().map(|at| at.item).collect()
 }
 
-fn one_name_each(problems: &mut Problems, callers: &[At<Caller>]) {
-    let mut names: Vec<&At<Caller>> = callers.iter().collect();
+fn check_caller_names(problems: &mut Problems, callers: &[Located<Caller>]) {
+    let mut names: Vec<&Located<Caller>> = callers.iter().collect();
     names.sort_by_key(|at| &at.item.name);
     for pair in names.windows(2) {
         if pair[0].item.name == pair[1].item.name {
@@ -335,9 +344,9 @@
     }
 }
 
-fn tiers_of_callers(problems: &mut Problems, all: &Declared) {
+fn check_caller_tiers(problems: &mut Problems, all: &Declared) {
     let names: Vec<&str> = all.tiers.iter().map(|t| t.item.name.as_str()).collect();
-    for At { place, item } in &all.callers {
+    for Located { place, item } in &all.callers {
         if !names.contains(&item.tier.as_str()) {
             let allowed = format!("a declared tier: {}", names.join(", "));
             let found = format!("{:?}", item.tier.as_str());
@@ -346,7 +355,8 @@
     }
 }
 
-fn ranked(problems: &mut Problems, mut tiers: Vec<At<Tier>>) -> Vec<Tier> {
+/// Sorts tiers by rank and checks their ranks, names and the sum of their floors.
+fn sort_tiers(problems: &mut Problems, mut tiers: Vec<Located<Tier>>) -> Vec<Tier> {
     tiers.sort_by_key(|at| at.item.rank);
     let mut floors = 0;
     for (rank, at) in tiers.iter().enumerate() {
@@ -354,7 +364,7 @@
             let allowed = format!("{rank}: ranks are 0, 1, 2 and so on, each once");
             problems.add(at.place.clone(), at.item.rank, allowed);
         }
-        let same = |other: &&At<Tier>| other.item.name == at.item.name;
+        let same = |other: &&Located<Tier>| other.item.name == at.item.name;
         if let Some(first) = tiers[..rank].iter().find(same) {
             let found = format!(
                 "{:?} as at line {}",
--- a/crates/stair-config/src/declarations.rs
+++ b/crates/stair-config/src/declarations.rs
@@ -1,4 +1,4 @@
-//! An operator's declarations: a directory of YAML files that are checked and applied as a whole.
+//! Reads an operator's declarations: a directory of YAML files, checked and applied as a whole.
 //!
 //! Every file may have any of the top-level fields `models`, `tiers`, `callers`, `services` and
 //! `policy`; lists of several files are joined, and only one file may have `policy`.
@@ -22,14 +22,14 @@
     yaml::Document, //
 };
 
-/// Files that are read but not yet checked.
+/// Decoded files before the checks, which `TryFrom` runs.
 #[derive(Debug, Clone, Default)]
 pub struct Declarations {
     documents: Vec<Document>,
 }
 
 impl Declarations {
-    /// Takes documents in their order.
+    /// Takes documents in the order in which they are checked.
     pub fn new(documents: Vec<Document>) -> Self {
         Self { documents }
     }
@@ -40,27 +40,27 @@
 
     fn try_from(declarations: Declarations) -> Result<Self, Problems> {
         let mut problems = Problems::default();
-        let catalogue = checked(&declarations, &mut problems);
-        problems.unless_any(Some(catalogue))
+        let catalogue = check_documents(&declarations, &mut problems);
+        problems.into_result(Some(catalogue))
     }
 }
 
-/// Reads and checks a directory's `*.yaml` files, those of its directories as well, or one file.
+/// Reads and checks one file, or all `*.yaml` files in a directory and its subdirectories.
 ///
 /// # Errors
 ///
-/// Everything that is wrong in any of the files.
+/// All problems of all files. If a file cannot be decoded, only the decoding errors.
 pub fn read(path: &Path) -> Result<Catalogue, Problems> {
     let mut problems = Problems::default();
     let files = match yaml_files(path) {
         Ok(files) => files,
         Err(e) => {
-            problems.add(whole(path), e, "a readable directory or file");
+            problems.add(whole_file(path), e, "a readable directory or file");
             return Err(problems);
         }
     };
     if files.is_empty() {
-        problems.add(whole(path), "no *.yaml file", "at least one");
+        problems.add(whole_file(path), "no *.yaml file", "at least one");
         return Err(problems);
     }
     let mut declarations = Declarations::default();
@@ -70,15 +70,15 @@
             Err(e) => problems.append(e),
         }
     }
-    // A file that cannot be decoded hides what others refer to, so its absence would be reported
-    // as problems of theirs.
+    // Other files may refer to items in a file that cannot be decoded. Checking them without it
+    // would report problems that they do not have.
     if !problems.is_empty() {
         return Err(problems);
     }
     Catalogue::try_from(declarations)
 }
 
-fn whole(path: &Path) -> Place {
+fn whole_file(path: &Path) -> Place {
     Place {
         file: path.display().to_string().into(),
         line: 0,
@@ -103,7 +103,7 @@
     Ok(files)
 }
 
-fn checked(declarations: &Declarations, problems: &mut Problems) -> Catalogue {
+fn check_documents(declarations: &Declarations, problems: &mut Problems) -> Catalogue {
     let mut all = check::Declared::default();
     let mut policy = None;
     for document in &declarations.documents {
@@ -127,5 +127,5 @@
         policy = Some(place);
         all.policy = check::policy(problems, &fields).unwrap_or_default();
     }
-    check::together(problems, all)
+    check::build_catalogue(problems, all)
 }
--- a/crates/stair-config/tests/chunks.rs
+++ b/crates/stair-config/tests/chunks.rs
@@ -1,4 +1,4 @@
-//! Cutting a catalogue into chunks and joining them.
+//! Splitting a catalogue into chunks, joining them, and the text of a difference.
 
 use std::path::Path;
 
@@ -19,7 +19,8 @@
     declarations::read(&path).unwrap()
 }
 
-fn not_in<'a>(chunks: &'a [Chunk], others: &[Chunk]) -> Vec<&'a Chunk> {
+/// Returns the chunks that are missing from `others`.
+fn missing_from<'a>(chunks: &'a [Chunk], others: &[Chunk]) -> Vec<&'a Chunk> {
     let new = |c: &&Chunk| others.iter().all(|o| o.hash != c.hash);
     chunks.iter().filter(new).collect()
 }
@@ -33,16 +34,18 @@
     assert_eq!(join(&chunks).unwrap(), before);
 }
 
+// A change of one model that moved others to new chunks would send them to every entry again.
 #[test]
 fn small_change() {
     let before = catalogue();
     let mut after = before.clone();
     after.models[3].replicas += 1;
     let (old, new) = (split(&before).unwrap(), split(&after).unwrap());
-    assert_eq!(not_in(&new, &old).len(), 1);
-    assert_eq!(not_in(&old, &new).len(), 1);
+    assert_eq!(missing_from(&new, &old).len(), 1);
+    assert_eq!(missing_from(&old, &new).len(), 1);
 }
 
+// 430 models with 15,910 adapters, the planned size: chunks stay far below the platform's limit.
 #[test]
 fn planned_size() {
     let base = catalogue();
@@ -67,8 +70,8 @@
     assert_eq!(join(&chunks).unwrap(), all);
 }
 
-// The platform's store is restored from an old copy, or someone edits a chunk by hand. A process
-// that took it over would serve models that nobody applied; it says so instead.
+// After a restore from an old copy or an edit by hand, a chunk's content does not match its name. A
+// process that accepted it would serve a catalogue that was never applied.
 #[test]
 fn foreign_content() {
     let mut chunks = split(&catalogue()).unwrap();
@@ -77,7 +80,7 @@
     assert!(matches!(join(&chunks), Err(Error::WrongHash { .. })));
 }
 
-// A chunk is missing or listed twice in the manifest, so that tiers or models are not as applied.
+// A manifest that omits a chunk or lists it twice yields a catalogue other than the applied one.
 #[test]
 fn missing_chunk() {
     let mut chunks = split(&catalogue()).unwrap();
@@ -93,8 +96,8 @@
     let before = catalogue();
     assert!(Diff::between(&before, &before).is_empty());
     let mut after = before.clone();
-    let gone = after.models.remove(0);
-    let mut added = gone.clone();
+    let removed = after.models.remove(0);
+    let mut added = removed.clone();
     added.name = "zz-new".try_into().unwrap();
     after.models.push(added);
     let changed = after.models.iter_mut().find(|m| m.adapters.len() > 2);
