--- a/crates/stair-policy/examples/measure/dispatch.rs
+++ b/crates/stair-policy/examples/measure/dispatch.rs
@@ -1,4 +1,4 @@
-//! A few entries that choose among the targets of one model.
+//! Simulates several entries that choose among the targets of one model.
 
 use std::collections::VecDeque;
 
@@ -34,82 +34,84 @@
     },
 };
 
-/// How an entry chooses.
+/// The rule by which an entry chooses.
 #[derive(Clone, Copy, PartialEq)]
 pub(crate) enum Rule {
     RoundRobin,
     LeastReported,
     LeastInFlight,
-    /// The choice under test without weights, but the slow target is never chosen while slow.
+    /// The choice under test without weights; the slow target is never chosen while it is slow.
     Oracle,
-    /// Always the home of the prompt's prefix.
-    Home,
+    /// Always the affinity target of the prompt's prefix.
+    AffinityTarget,
     /// The choice under test with affinity.
     Affinity,
     /// The choice under test without weights.
     Choose,
-    /// With the weights of `traffic_weights`.
+    /// The choice under test with the weights of `traffic_weights`.
     TrafficWeights,
-    /// With weights by the paper's rule.
+    /// The choice under test with weights by the paper's rule.
     Paper(Mean),
 }
 
-/// A scenario. Times in seconds.
+/// A scenario. Times are in seconds.
 #[derive(Clone, Copy)]
 pub(crate) struct Scenario {
     pub(crate) entries: usize,
     pub(crate) targets: usize,
     pub(crate) slots: usize,
     pub(crate) load: f64,
-    pub(crate) report_every: f64,
+    pub(crate) report_interval: f64,
     pub(crate) slow: Slow,
-    /// Prompts begin with one of so many prefixes; 0 for none.
+    /// Number of prefixes, one of which each prompt begins with; 0 for none.
     pub(crate) prefixes: usize,
     pub(crate) span: f64,
     pub(crate) seed: u64,
 }
 
-/// Who is slow, from a third of the span to two thirds.
+/// The targets that are slow in the second third of the span, and the factor of their latency.
 #[derive(Clone, Copy, PartialEq)]
 pub(crate) enum Slow {
     Nobody,
     One(f64),
     All(f64),
-    /// All, and the first target so many times more.
+    /// All by the first factor, and the first target additionally by the second.
     AllAndOne(f64, f64),
 }
 
-/// What came out.
+/// The results of a run.
 pub(crate) struct Report {
     pub(crate) latency: Samples,
-    /// The same, only while somebody is slow, the first ten seconds left out.
+    /// Latency in the slow third without its first 10 s.
     pub(crate) latency_slow: Samples,
-    /// Requests sent to target 0 while it is slow, after ten seconds, and all of that time.
+    /// Requests sent to target 0 in the slow third without its first 10 s.
     pub(crate) to_slow: u64,
+    /// All requests sent in that time.
     pub(crate) all_then: u64,
-    /// Requests sent to target 0 after it has recovered, thirty seconds left out, and all then.
+    /// Requests sent to target 0 in the last third without its first 30 s.
     pub(crate) to_recovered: u64,
+    /// All requests sent in that time.
     pub(crate) all_recovered: u64,
-    /// Lowest weight seen of any target but the first, at any entry.
+    /// Lowest weight of any target but the first, at any entry.
     pub(crate) lowest_healthy: f32,
     /// Requests whose prefix was cached.
     pub(crate) hits: u64,
-    /// Most requests that one target got.
+    /// Greatest number of requests sent to one target.
     pub(crate) busiest: u64,
 }
 
-/// Time to compute a prefix that is not cached.
+/// Seconds of prefill of a prefix that is not cached.
 const PREFILL: f64 = 0.3;
 
-/// Prefixes that a target caches.
+/// Number of prefixes that a target caches.
 const CACHED: usize = 4;
 
 const MEAN_RUN: f64 = 0.2;
 
 struct Target {
-    /// When each slot comes free.
+    /// The time at which each slot becomes free.
     slots: Vec<f64>,
-    /// The prefixes cached, the latest first.
+    /// The cached prefixes, the latest first.
     cache: Vec<usize>,
     got: u64,
     reported_wait: f64,
@@ -119,13 +121,13 @@
 struct Entry {
     rng: StdRng,
     in_flight: Vec<u16>,
-    turn: usize,
+    next_target: usize,
     traffic_weights: TrafficWeights,
     paper: Detector,
 }
 
-/// An answer on its way: when it comes, to whom, and how long it ran.
-struct Answer {
+/// A response in transit: its arrival at an entry, the entry, the target and the run.
+struct Response {
     at: f64,
     entry: usize,
     target: usize,
@@ -137,11 +139,11 @@
     rule: Rule,
     targets: Vec<Target>,
     entries: Vec<Entry>,
-    answers: VecDeque<Answer>,
+    responses: VecDeque<Response>,
     report: Report,
 }
 
-/// Draws a prefix; the first is asked for twice as often as the second, and so on.
+/// Draws a prefix by Zipf's law: the n-th is requested 1/n times as often as the first.
 fn popular(rng: &mut StdRng, prefixes: usize) -> Option<usize> {
     let whole: f64 = (1..=prefixes).map(|n| 1.0 / n as f64).sum();
     let mut left = rng.random_range(0.0..1.0) * whole;
@@ -176,12 +178,12 @@
             got: 0,
             reported_wait: 0.0,
             // Targets do not report at the same moment.
-            reported_at: -scenario.report_every * t as f64 / scenario.targets as f64,
+            reported_at: -scenario.report_interval * t as f64 / scenario.targets as f64,
         });
         let entries = (0..scenario.entries).map(|e| Entry {
             rng: StdRng::seed_from_u64(e as u64),
             in_flight: vec![0; scenario.targets],
-            turn: e,
+            next_target: e,
             traffic_weights: TrafficWeights::new(WeightOptions::default()),
             paper: Detector::new(scenario.targets, rule.mean()),
         });
@@ -190,7 +192,7 @@
             rule,
             targets: targets.collect(),
             entries: entries.collect(),
-            answers: VecDeque::new(),
+            responses: VecDeque::new(),
             report: Report {
                 latency: Samples::new(),
                 latency_slow: Samples::new(),
@@ -205,10 +207,10 @@
         }
     }
 
-    /// Hands the answers that have come to their entries.
+    /// Delivers the responses that are due to their entries.
     fn deliver(&mut self, now: f64) {
-        while self.answers.front().is_some_and(|a| a.at <= now) {
-            let Some(a) = self.answers.pop_front() else {
+        while self.responses.front().is_some_and(|a| a.at <= now) {
+            let Some(a) = self.responses.pop_front() else {
                 break;
             };
             let entry = &mut self.entries[a.entry];
@@ -227,7 +229,7 @@
 
     fn publish(&mut self, now: f64) {
         for t in &mut self.targets {
-            if now - t.reported_at >= self.scenario.report_every {
+            if now - t.reported_at >= self.scenario.report_interval {
                 t.reported_at = now;
                 t.reported_wait = t.wait(now);
             }
@@ -246,14 +248,14 @@
         t.slots[slot] = start + run;
         self.entries[entry].in_flight[target] += 1;
         let at = start + run;
-        let answer = Answer {
+        let response = Response {
             at,
             entry,
             target,
             run,
         };
-        let index = self.answers.partition_point(|a| a.at <= at);
-        self.answers.insert(index, answer);
+        let index = self.responses.partition_point(|a| a.at <= at);
+        self.responses.insert(index, response);
         self.note(now, target, at - now);
     }
 
@@ -297,21 +299,21 @@
         }
     }
 
-    fn home(&self, prefix: usize) -> Option<usize> {
+    fn affinity_of(&self, prefix: usize) -> Option<usize> {
         let targets = (0..self.scenario.targets as u32).map(|t| (TargetKey(t), u64::from(t)));
         affinity_target(prefix as u64, targets).map(|k| k.0 as usize)
     }
 
     fn pick(&mut self, now: f64, entry: usize, prefix: Option<usize>) -> usize {
-        let home = prefix.and_then(|p| self.home(p));
+        let affinity = prefix.and_then(|p| self.affinity_of(p));
         let avoid = self.rule == Rule::Oracle && self.is_slow(now);
         let reported = |t: usize| self.targets[t].reported_wait;
         let e = &mut self.entries[entry];
         let all = 0..self.scenario.targets;
         match self.rule {
             Rule::RoundRobin => {
-                e.turn += 1;
-                e.turn % self.scenario.targets
+                e.next_target += 1;
+                e.next_target % self.scenario.targets
             }
             Rule::LeastReported => all
                 .min_by(|a, b| reported(*a).total_cmp(&reported(*b)))
@@ -321,7 +323,7 @@
                 let turned = all.map(|t| (t + from) % self.scenario.targets);
                 turned.min_by_key(|t| e.in_flight[*t]).unwrap_or(0)
             }
-            Rule::Home => home.unwrap_or(0),
+            Rule::AffinityTarget => affinity.unwrap_or(0),
             Rule::Oracle
             | Rule::Affinity
             | Rule::Choose
@@ -336,7 +338,7 @@
                         report_age: secs(now - self.targets[t].reported_at),
                         in_flight: e.in_flight[t],
                         cold_start: secs(0.0),
-                        prefix_affinity: self.rule == Rule::Affinity && home == Some(t),
+                        prefix_affinity: self.rule == Rule::Affinity && affinity == Some(t),
                         same_data_centre: true,
                         weight: e.weight(self.rule, t),
                     })
--- a/crates/stair-relay/src/admit.rs
+++ b/crates/stair-relay/src/admit.rs
@@ -1,4 +1,4 @@
-//! Reads a request, checks it, and finds its route.
+//! Admits a request: reads and checks it, and finds its route.
 
 use std::{
     sync::{
@@ -50,10 +50,6 @@
 };
 
 use crate::{
-    allowance::{
-        self,
-        Grant, //
-    },
     authorize,
     context::{
         Context,
@@ -64,28 +60,33 @@
         rank, //
     },
     quarantine,
+    quota::{
+        self,
+        Grant, //
+    },
     refuse::{
-        LEAVING_COME_BACK,
         Reason,
         Refusal, //
+        STOPPING_RETRY_AFTER,
     },
 };
 
-/// Retry-After of an entry without declarations; another entry may answer at once.
-const STARTING_COME_BACK: Duration = Duration::from_millis(300);
+/// Retry-After of an entry without a catalogue; another entry may serve the request at once.
+const STARTING_RETRY_AFTER: Duration = Duration::from_millis(300);
 
-/// Time that a stream may need. A stopping entry with less left rejects it: the end of the process would cut it.
-const STREAM_TIME: Duration = Duration::from_millis(4600);
+/// Time that a stream may need. A stopping entry with less time left rejects it, since the end of the process
+/// would truncate the response.
+const MIN_STREAM_DURATION: Duration = Duration::from_millis(4600);
 
-/// The same for other requests.
-const PLAIN_TIME: Duration = Duration::from_millis(1200);
+/// The same for requests without a stream.
+const MIN_REQUEST_DURATION: Duration = Duration::from_millis(1200);
 
-/// Reads the request and finds its route.
+/// Reads the request, finds its route and charges its workspace.
 ///
 /// # Errors
 ///
-/// The refusal of one that is malformed, for no route, without a key that is in force, or comes too late to be
-/// served here.
+/// The refusal of a request that is malformed, has no route, carries no key in force, is quarantined, exceeds
+/// the quota of its workspace, or comes too late to be served by this process.
 pub async fn admit(
     cx: &Arc<Context>,
     req: Request<Incoming>,
@@ -93,25 +94,25 @@
 ) -> Result<Job, Refusal> {
     let serving = Serving::begin(cx.clone());
     let (head, body) = req.into_parts();
-    check(&head.headers)?;
+    check_framing(&head.headers)?;
     let catalogue = cx.state().catalogue.clone();
     let Some(catalogue) = catalogue else {
-        let come_back = Some(STARTING_COME_BACK);
-        return Err(Refusal::not_run(Reason::Starting, come_back));
+        let retry_after = Some(STARTING_RETRY_AFTER);
+        return Err(Refusal::not_run(Reason::Starting, retry_after));
     };
-    let route = find(&catalogue, &head.uri, &head.headers)
+    let route = find_route(&catalogue, &head.uri, &head.headers)
         .ok_or(Refusal::not_run(Reason::NoRoute, None))?
         .clone();
     let workspace = authorize::authorize(cx, &catalogue, &route, &head.headers)?.cloned();
     if let Some(left) = cx.ends_in() {
         let needed = if route.stream {
-            STREAM_TIME
+            MIN_STREAM_DURATION
         } else {
-            PLAIN_TIME
+            MIN_REQUEST_DURATION
         };
         if left < needed.min(route.timeout) {
-            let come_back = Some(LEAVING_COME_BACK);
-            return Err(Refusal::not_run(Reason::Leaving, come_back));
+            let retry_after = Some(STOPPING_RETRY_AFTER);
+            return Err(Refusal::not_run(Reason::Stopping, retry_after));
         }
     }
     let meta = Meta::decode(&head.headers);
@@ -126,10 +127,10 @@
         request::strip_key(&mut headers);
     }
     let mut job = Job {
-        shared: shared(&meta),
-        parts: parts(&meta),
+        shared_prefix: shared_prefix(&meta),
+        prefix_blocks: prefix_blocks(&meta),
         more_urgent: catalogue.more_urgent_objective(&service, rank(&route, workspace.as_ref())),
-        pause: catalogue.shortest_pause(&service),
+        shortest_pause: catalogue.shortest_pause(&service),
         meta,
         route,
         workspace,
@@ -147,17 +148,17 @@
         _serving: serving,
     };
     quarantine::admit(cx, &job)?;
-    job.grant = take_allowance(cx, &job).await?;
+    job.grant = charge_quota(cx, &job).await?;
     cx.count_request(&job.service);
-    log(&job, wait);
+    log_request(&job, wait);
     Ok(job)
 }
 
-async fn take_allowance(cx: &Arc<Context>, job: &Job) -> Result<Option<Grant>, Refusal> {
+async fn charge_quota(cx: &Arc<Context>, job: &Job) -> Result<Option<Grant>, Refusal> {
     let Some(workspace) = &job.workspace else {
         return Ok(None);
     };
-    let opts = allowance::Options {
+    let opts = quota::Options {
         id: &job.meta.id,
         version: job.catalogue.version,
         tokens: job
@@ -166,10 +167,10 @@
             .saturating_add(job.meta.answer_tokens),
         objective: job.route.objective,
     };
-    allowance::take(cx, workspace, &opts).await
+    quota::charge(cx, workspace, &opts).await
 }
 
-fn log(job: &Job, wait: Duration) {
+fn log_request(job: &Job, wait: Duration) {
     let (meta, route) = (&job.meta, &job.route);
     Line::new("request")
         .text("id", &meta.id)
@@ -186,9 +187,9 @@
         .write();
 }
 
-/// Refuses what different readers could understand differently: one hop would take the rest of such
-/// a body for another request, which no client sent.
-fn check(headers: &HeaderMap) -> Result<(), Refusal> {
+/// Refuses headers whose framing is ambiguous. Another hop could read the rest of such a body as a request
+/// that no client sent.
+fn check_framing(headers: &HeaderMap) -> Result<(), Refusal> {
     let malformed = Err(Refusal::not_run(Reason::Malformed, None));
     let both = headers.contains_key(TRANSFER_ENCODING) && headers.contains_key(CONTENT_LENGTH);
     let several = headers.get_all(HOST).iter().count() > 1
@@ -200,7 +201,11 @@
     Ok(())
 }
 
-fn find<'a>(catalogue: &'a Catalogue, uri: &hyper::Uri, headers: &HeaderMap) -> Option<&'a Route> {
+fn find_route<'a>(
+    catalogue: &'a Catalogue,
+    uri: &hyper::Uri,
+    headers: &HeaderMap,
+) -> Option<&'a Route> {
     let host = match uri.authority() {
         Some(authority) => authority.as_str(),
         None => headers.get(HOST)?.to_str().ok()?,
@@ -234,7 +239,7 @@
     }
 }
 
-/// Removes what concerns one connection only, and what a client may not set.
+/// Removes headers that concern one connection only, and those that a client must not set.
 fn strip(headers: &mut HeaderMap) {
     let named: Vec<HeaderName> = headers
         .get_all(CONNECTION)
@@ -267,8 +272,8 @@
     headers.remove("proxy-connection");
 }
 
-/// The parts of the prompt, each with a name for everything up to its end.
-fn parts(meta: &Meta) -> Vec<PrefixBlock> {
+/// The prefix blocks of the prompt, each named by a hash of everything up to its end.
+fn prefix_blocks(meta: &Meta) -> Vec<PrefixBlock> {
     let mut chain = xxh3_64(format!("{:?}/{:?}", meta.model, meta.adapter).as_bytes());
     let part = |(id, tokens): &(u64, u64)| {
         chain = xxh3_64_with_seed(&id.to_le_bytes(), chain);
@@ -280,8 +285,8 @@
     meta.parts.iter().map(part).collect()
 }
 
-/// The part of the prompt that other requests share: all parts but the last.
-fn shared(meta: &Meta) -> Option<(u64, u64)> {
+/// The prefix of the prompt that other requests share, all blocks but the last: its tokens and its hash.
+fn shared_prefix(meta: &Meta) -> Option<(u64, u64)> {
     let (_, head) = meta.parts.split_last()?;
     if head.is_empty() {
         return None;
--- a/crates/stair-relay/src/context.rs
+++ b/crates/stair-relay/src/context.rs
@@ -1,7 +1,7 @@
-//! What all parts of one entry share.
+//! The state that all modules of one entry share.
 
 mod agents;
-mod flight;
+mod in_flight;
 mod pending_load;
 mod retries;
 mod usage;
@@ -61,68 +61,68 @@
 };
 
 use crate::{
-    allowance::Allowances,
     crash::Crashes,
     follow::Follow,
-    home::Homes,
+    owner::Owners,
     quarantine::Quarantine, //
+    quota::Quotas,
 };
 
-pub use flight::{
-    Flight,
+pub use in_flight::{
+    InFlight,
     Serving, //
 };
 pub use pending_load::PendingLoad;
-use usage::UseAt;
+use usage::EngineUsage;
 
-/// One entry.
+/// The shared context of one entry.
 pub struct Context {
-    /// Its settings.
+    /// The settings at the start; [`Context::reload`] does not change these.
     pub settings: GatewaySettings,
     /// Counters and histograms.
     pub page: Page,
-    /// Notified at each change of the state.
+    /// Notified when the catalogue or the list of targets changes.
     pub changed: Notify,
-    /// Told when a target's VM is found to stand still.
-    pub quiet: Notify,
-    /// Who watches the store: this entry, or one that it follows.
+    /// Notified when the VM of a target is found to be unresponsive.
+    pub unresponsive: Notify,
+    /// Whether this entry watches the store or follows an entry that does.
     pub follow: Follow,
     started: Instant,
-    /// When the process ends, once the stop has begun.
+    /// The latest end of the process, once the stop has begun.
     ends_at: watch::Sender<Option<Instant>>,
     serving: AtomicUsize,
-    live: Mutex<Live>,
+    reloadable: Mutex<ReloadableSettings>,
     state: Mutex<State>,
 }
 
 /// Settings that can change while the process runs.
-struct Live {
+struct ReloadableSettings {
     store: Store,
     address: SocketAddr,
     retries: RetrySettings,
 }
 
-/// What an entry knows and is doing.
+/// The replicated state of an entry and its work in progress.
 #[derive(Default)]
 pub struct State {
     /// The catalogue in force, if one is known.
     pub catalogue: Option<Arc<Catalogue>>,
-    /// The targets.
+    /// The list of targets and the state of each.
     pub view: View,
     /// Links to agents, sorted by the engine's address.
     pub agents: Vec<AgentLink>,
-    /// What an agent said last of the other entries, and when.
+    /// The last report of an agent on the other entries, and the time of its receipt.
     pub peers: Option<(Peers, Duration)>,
-    /// Allowances of workspaces.
-    pub allowances: Allowances,
-    /// The agents that count for all entries.
-    pub homes: Homes,
-    /// Requests that were cut lately.
+    /// Quotas of workspaces.
+    pub quotas: Quotas,
+    /// The agents that count for all entries, by the name that they own.
+    pub owners: Owners,
+    /// Runs that were interrupted recently, by target.
     pub(crate) crashes: Crashes,
-    /// Requests that end targets.
+    /// Requests that are suspected to end targets, or are quarantined.
     pub(crate) quarantine: Quarantine,
     budgets: Vec<(Box<str>, Budget)>,
-    use_of: Vec<UseAt>,
+    usage: Vec<EngineUsage>,
     next_seq: u64,
 }
 
@@ -130,40 +130,40 @@
 pub struct AgentLink {
     /// The engine's address.
     pub engine: SocketAddr,
-    /// The same as a text, by which entries agree on an order of agents.
+    /// The address as text. All entries order the agents by it.
     pub name: Box<str>,
     /// Whether the link is up.
     pub linked: bool,
-    /// Until when the agent is not asked about allowances, as it has not answered.
+    /// Until then the agent is not used as an owner or for a ledger, since it did not reply in time.
     pub skipped_until: Duration,
     /// Messages to the agent.
     pub tx: mpsc::Sender<ToAgent>,
-    /// Entries that the agent hears, as it said last; 0 before it has.
+    /// The number of entries linked to the agent by its last report; 0 before the first.
     pub entries: u32,
-    /// The last life that the engine has said it is not.
-    pub former: Option<Box<str>>,
-    /// How long prompts took to be read, that the agent has not been told.
-    pub read: Vec<Measurement>,
-    /// Questions that wait for their answer.
-    pub waiting: Vec<(u64, oneshot::Sender<Outcome>)>,
-    /// Prompts that wait to be told their slot.
-    pub reservations: Vec<(u64, oneshot::Sender<Reply>)>,
+    /// The last incarnation that the engine has disowned.
+    pub stale_incarnation: Option<Box<str>>,
+    /// Prefill durations that have not been reported to the agent.
+    pub prefill_times: Vec<Measurement>,
+    /// Load requests that wait for a reply, by sequence number.
+    pub pending_loads: Vec<(u64, oneshot::Sender<Outcome>)>,
+    /// Requests for a prefill slot that wait for a reply, by sequence number.
+    pub pending_slots: Vec<(u64, oneshot::Sender<Reply>)>,
 }
 
 impl Context {
-    /// Makes the context of an entry that knows nothing yet.
+    /// Returns the context of an entry without replicated state.
     pub fn new(settings: GatewaySettings) -> Self {
-        let live = Live {
+        let reloadable = ReloadableSettings {
             store: Store::new(settings.store),
             address: settings.store,
             retries: settings.retries,
         };
         Self {
-            live: Mutex::new(live),
+            reloadable: Mutex::new(reloadable),
             settings,
             page: Page::default(),
             changed: Notify::new(),
-            quiet: Notify::new(),
+            unresponsive: Notify::new(),
             follow: Follow::default(),
             started: Instant::now(),
             ends_at: watch::Sender::new(None),
@@ -172,23 +172,25 @@
         }
     }
 
-    /// Takes over what can change while the process runs.
+    /// Applies the settings that can change while the process runs.
     pub fn reload(&self, new: &GatewaySettings) {
-        let mut live = self.live();
-        live.retries = new.retries;
-        if live.address != new.store {
-            live.store = Store::new(new.store);
-            live.address = new.store;
+        let mut reloadable = self.reloadable();
+        reloadable.retries = new.retries;
+        if reloadable.address != new.store {
+            reloadable.store = Store::new(new.store);
+            reloadable.address = new.store;
         }
     }
 
     /// The client of the store.
     pub fn store(&self) -> Store {
-        self.live().store.clone()
+        self.reloadable().store.clone()
     }
 
-    fn live(&self) -> MutexGuard<'_, Live> {
-        self.live.lock().unwrap_or_else(PoisonError::into_inner)
+    fn reloadable(&self) -> MutexGuard<'_, ReloadableSettings> {
+        self.reloadable
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
     }
 
     /// Time since the start.
@@ -196,7 +198,7 @@
         self.started.elapsed()
     }
 
-    /// Locks the state; never held across a wait.
+    /// Locks the state. The guard must not be held across an await.
     pub fn state(&self) -> MutexGuard<'_, State> {
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
@@ -206,7 +208,7 @@
         self.ends_at.borrow().is_some()
     }
 
-    /// Begins the stop; the process ends at the given time at the latest.
+    /// Begins the stop; the process ends at `ends_at` at the latest.
     pub fn drain(&self, ends_at: Instant) {
         self.ends_at.send_replace(Some(ends_at));
     }
@@ -217,8 +219,8 @@
         Some(ends_at?.saturating_duration_since(Instant::now()))
     }
 
-    /// Waits until the process is about to end, with so much time left.
-    pub async fn ending(&self, left: Duration) {
+    /// Waits until `left` remains before the process ends.
+    pub async fn until_ending(&self, left: Duration) {
         let mut rx = self.ends_at.subscribe();
         // The sender lives as long as the context.
         let ends_at = rx.wait_for(Option::is_some).await.map(|at| *at);
@@ -232,15 +234,16 @@
         self.serving.load(Ordering::Relaxed)
     }
 
-    /// Whether new connections may be sent here: what is in force is known and no stop has begun.
+    /// Whether new connections may be sent here: the catalogue and the targets are known and no stop has
+    /// begun.
     pub fn ready(&self) -> bool {
         let state = self.state();
         !self.draining() && state.catalogue.is_some() && state.view.revision > 0
     }
 
-    /// Waits until operators have declared something. Before that no target can be used, and each look at
-    /// their list is a call of the store.
-    pub async fn declared(&self) {
+    /// Waits for a catalogue. No target can be used without one, and each call of the store for their list is
+    /// charged.
+    pub async fn until_declared(&self) {
         loop {
             let changed = self.changed.notified();
             if self.state().catalogue.is_some() {
@@ -250,41 +253,45 @@
         }
     }
 
-    /// Takes in that an agent has not answered a question in time. Whether its VM is taken to stand still.
-    pub fn unanswered(&self, key: TargetKey) -> bool {
+    /// Records that an agent has not replied in time. Returns whether its VM counts as unresponsive.
+    pub fn record_unanswered(&self, key: TargetKey) -> bool {
         let now = self.now();
-        let (falls, quiet, id) = {
+        let (newly_unresponsive, unresponsive, id) = {
             let mut state = self.state();
-            let seen = state.view.get_mut(key);
-            let falls = seen.mark_unresponsive(HEARTBEAT_TIMEOUT, now);
-            (falls, seen.unresponsive, seen.target.id.clone())
+            let target_state = state.view.get_mut(key);
+            let newly_unresponsive = target_state.mark_unresponsive(HEARTBEAT_TIMEOUT, now);
+            (
+                newly_unresponsive,
+                target_state.unresponsive,
+                target_state.target.id.clone(),
+            )
         };
-        if falls {
-            self.are_quiet(&[id]);
+        if newly_unresponsive {
+            self.report_unresponsive(&[id]);
         }
-        quiet
+        unresponsive
     }
 
-    /// Whether a target takes requests by its own word.
+    /// Whether a target announces that it takes requests, even if it is suspect.
     pub(crate) fn takes(&self, key: TargetKey) -> bool {
         let now = self.now();
         self.state().view.get(key).accepts(true, now)
     }
 
-    /// Tells of targets whose VMs were found to stand still.
-    pub fn are_quiet(&self, ids: &[Box<str>]) {
+    /// Logs targets whose VMs were found to be unresponsive, and notifies those that wait for that.
+    pub fn report_unresponsive(&self, ids: &[Box<str>]) {
         for id in ids {
             Line::failure("target.quiet").text("target", id).write();
         }
         if !ids.is_empty() {
-            self.quiet.notify_waiters();
+            self.unresponsive.notify_waiters();
         }
     }
 
-    /// Waits until the VM of one of these targets is found to stand still.
-    pub async fn fall_quiet(&self, keys: &[TargetKey]) {
+    /// Waits until the VM of one of these targets is found to be unresponsive.
+    pub async fn until_unresponsive(&self, keys: &[TargetKey]) {
         loop {
-            let notified = self.quiet.notified();
+            let notified = self.unresponsive.notified();
             if keys.iter().any(|k| self.state().view.get(*k).unresponsive) {
                 return;
             }
@@ -292,7 +299,7 @@
         }
     }
 
-    /// Sets the gauges to what is so now.
+    /// Sets the gauges to the present state.
     pub fn gauges(&self) {
         let now = self.now();
         let state = self.state();
@@ -318,7 +325,7 @@
         set("requests_in_flight", self.serving());
     }
 
-    /// How far this entry's knowledge goes.
+    /// The versions of this entry's replicated state, for agents and peers.
     pub fn replication_state(&self) -> ReplicationState {
         let state = self.state();
         ReplicationState {
@@ -332,20 +339,24 @@
 }
 
 impl State {
-    /// A number for the next question to an agent.
+    /// Returns the sequence number of the next request to an agent.
     pub fn next_seq(&mut self) -> u64 {
         self.next_seq += 1;
         self.next_seq
     }
 
-    /// Takes from the list what engines have said they are not: the store may list it for some time.
-    pub fn drop_former(&mut self) {
-        for id in self.agents.iter().filter_map(|a| a.former.as_ref()) {
+    /// Removes incarnations that engines have disowned; the store may still list them for some time.
+    pub fn drop_stale_incarnations(&mut self) {
+        for id in self
+            .agents
+            .iter()
+            .filter_map(|a| a.stale_incarnation.as_ref())
+        {
             self.view.remove(id);
         }
     }
 
-    /// Finds the link to an engine's agent.
+    /// The index of the link to an engine's agent.
     pub fn agent(&self, engine: SocketAddr) -> Option<usize> {
         self.agents.binary_search_by_key(&engine, |a| a.engine).ok()
     }
--- a/crates/stair-relay/src/context/flight.rs
+++ b/crates/stair-relay/src/context/in_flight.rs
@@ -1,4 +1,4 @@
-//! Requests that count for as long as they are served, or in flight at a target.
+//! Guards that count requests while they are served, or in flight at a target.
 
 use std::{
     net::SocketAddr,
@@ -13,20 +13,19 @@
 use super::Context;
 use crate::quarantine::Trial;
 
-/// One request in flight at a target; it counts until this is dropped.
-pub struct Flight {
+/// A request in flight at a target; counted until it is dropped.
+pub struct InFlight {
     cx: Arc<Context>,
     key: TargetKey,
     engine: SocketAddr,
     names: Vec<Box<str>>,
     unread: u64,
-    /// Dropped with the flight, which ends the trial.
+    /// Dropping it ends the trial.
     _trial: Option<Box<Trial>>,
 }
 
-impl Flight {
-    /// Notes that a request with so many prompt tokens goes to a target, for a model and perhaps
-    /// an adapter.
+impl InFlight {
+    /// Counts a request with `tokens` prompt tokens at a target, for a model and possibly an adapter.
     pub fn begin(
         cx: Arc<Context>,
         key: TargetKey,
@@ -40,12 +39,12 @@
             names.extend(adapter.map(|a| format!("{model}/{a}").into()));
         }
         let mut state = cx.state();
-        let seen = state.view.get_mut(key);
-        seen.in_flight += 1;
-        seen.unread_tokens += tokens;
-        let engine = seen.target.addr;
+        let target_state = state.view.get_mut(key);
+        target_state.in_flight += 1;
+        target_state.unread_tokens += tokens;
+        let engine = target_state.target.addr;
         for name in &names {
-            state.use_begins(engine, name);
+            state.begin_use(engine, name);
         }
         drop(state);
         Self {
@@ -58,42 +57,42 @@
         }
     }
 
-    /// Has the trial of a suspect end with the flight.
+    /// Binds the trial of a suspect to this request.
     pub(crate) fn set_trial(&mut self, trial: Option<Trial>) {
         self._trial = trial.map(Box::new);
     }
 
-    /// The target.
+    /// The target that the request was sent to.
     pub fn key(&self) -> TargetKey {
         self.key
     }
 
-    /// Notes that the prompt has been read.
-    pub fn read(&mut self) {
+    /// Records that the engine has finished the prefill of the prompt.
+    pub fn mark_read(&mut self) {
         let unread = std::mem::take(&mut self.unread);
         let mut state = self.cx.state();
-        let seen = state.view.get_mut(self.key);
-        seen.unread_tokens = seen.unread_tokens.saturating_sub(unread);
+        let target_state = state.view.get_mut(self.key);
+        target_state.unread_tokens = target_state.unread_tokens.saturating_sub(unread);
     }
 }
 
-impl Drop for Flight {
+impl Drop for InFlight {
     fn drop(&mut self) {
-        self.read();
+        self.mark_read();
         let mut state = self.cx.state();
-        let seen = state.view.get_mut(self.key);
-        seen.in_flight = seen.in_flight.saturating_sub(1);
+        let target_state = state.view.get_mut(self.key);
+        target_state.in_flight = target_state.in_flight.saturating_sub(1);
         for name in &self.names {
-            state.use_ends(self.engine, name);
+            state.end_use(self.engine, name);
         }
     }
 }
 
-/// One request being served; it counts until this is dropped.
+/// A request being served; counted until it is dropped.
 pub struct Serving(Arc<Context>);
 
 impl Serving {
-    /// Counts one.
+    /// Counts a request.
     pub fn begin(cx: Arc<Context>) -> Self {
         cx.serving.fetch_add(1, Ordering::Relaxed);
         Self(cx)
--- a/crates/stair-relay/src/load.rs
+++ b/crates/stair-relay/src/load.rs
@@ -37,42 +37,43 @@
     },
     job::Job,
     outage,
-    pick::{
-        COME_BACK,
-        LOOK_EVERY,
-        RUN_TIME,
-        ready, //
+    select::{
+        CHECK_INTERVAL,
+        DEFAULT_RETRY_AFTER,
+        RUN_DURATION,
+        find_ready, //
     },
 };
 
-/// Time that a rejected client may return later than told; a lost packet is sent again after a second.
-const RETURN_TIME: Duration = Duration::from_millis(1000);
+/// Time that a rejected client may come later than its Retry-After: a lost packet is sent again after a
+/// second.
+const RETURN_SLACK: Duration = Duration::from_millis(1000);
 
-/// What came of a try to have a model loaded.
+/// The outcome of a request to load a model.
 pub enum Loaded {
-    /// An engine has it.
+    /// An engine has the model.
     Ready,
-    /// Some time has passed; it is worth to look again.
+    /// Some time has passed; a new search may find a target.
     Waited,
-    /// This engine does not load it.
+    /// This engine does not load the model.
     Refused(TargetKey),
-    /// It would come too late; when to come back.
+    /// The load would end too late; the time that it takes.
     TooLate(Duration),
-    /// It would come too late, and an engine that is down may be back with it before.
-    Down,
-    /// No engine can load it.
-    Nowhere,
+    /// The load would end too late, and an engine that is down may be back with the model before.
+    EngineDown,
+    /// No engine can load the model.
+    NoCapacity,
 }
 
-/// Finds a place for a model, has it loaded there and waits for it until `until`. Engines in
-/// `refused` are left out. Until `held_until` an engine that is down may be waited for instead.
+/// Finds a placement for a model, has the model loaded there and waits for it until `until`. Engines in
+/// `refused` are excluded. Until `outage_until` an engine that is down may be waited for instead.
 pub async fn load(
     cx: &Arc<Context>,
     job: &Job,
     model: &str,
     engine: &Engine,
     refused: &[TargetKey],
-    held_until: Instant,
+    outage_until: Instant,
     until: Instant,
 ) -> Loaded {
     let found = {
@@ -81,7 +82,7 @@
         cold_start::find(&state.view, &job.service, engine, model, refused, now)
     };
     match found {
-        Ok(at) => load_at(cx, job, &at, refused, held_until, until).await,
+        Ok(at) => load_at(cx, job, &at, refused, outage_until, until).await,
         Err(e) => {
             Line::new("wake.nowhere")
                 .text("id", &job.meta.id)
@@ -93,34 +94,37 @@
     }
 }
 
-/// Has the request's model loaded at a place and waits for it.
+/// Has the request's model loaded at the placement `at` and waits for it.
 pub async fn load_at(
     cx: &Arc<Context>,
     job: &Job,
     at: &cold_start::Outcome,
     refused: &[TargetKey],
-    held_until: Instant,
+    outage_until: Instant,
     until: Instant,
 ) -> Loaded {
     let Some(model) = job.meta.model.as_deref() else {
-        return Loaded::Nowhere;
+        return Loaded::NoCapacity;
     };
     let begun = Instant::now();
-    let late = begun + at.ready_in + RUN_TIME > until;
-    // A load that comes too late for this request anyway keeps the weight store from others.
-    if late && at.from == CopyLocation::Store && begun < held_until && outage::is_expected(cx, job)
+    let late = begun + at.ready_in + RUN_DURATION > until;
+    // A load that ends too late for this request would only occupy the weight store.
+    if late
+        && at.from == CopyLocation::Store
+        && begun < outage_until
+        && outage::is_expected(cx, job)
     {
-        return Loaded::Down;
+        return Loaded::EngineDown;
     }
-    let waits = until.saturating_duration_since(begun);
-    let of_use = at.ready_in.max(waits + COME_BACK) + RETURN_TIME;
-    let Some(mut pending) = ask(cx, model, at, of_use, false) else {
+    let remaining = until.saturating_duration_since(begun);
+    let timeout = at.ready_in.max(remaining + DEFAULT_RETRY_AFTER) + RETURN_SLACK;
+    let Some(mut pending) = request(cx, model, at, timeout, false) else {
         return Loaded::Refused(at.key);
     };
     log_load(job, model, at, "needed");
     if late {
-        // It is to be there when the client returns.
-        pending.stand();
+        // The model is to be loaded when the client retries.
+        pending.detach();
         return Loaded::TooLate(at.ready_in);
     }
     let outcome = match wait_loaded(cx, job, &mut pending, refused, until).await {
@@ -140,20 +144,20 @@
         .show("outcome", format_args!("{outcome:?}"))
         .ms("took_ms", begun.elapsed())
         .write();
-    let from = [("from", source(at.from))];
+    let from = [("from", copy_label(at.from))];
     cx.page.time("wake_ms", &from, begun.elapsed());
     match outcome {
         Ok(msg::Outcome::Ready) => {
-            settled(cx, model, at.key);
+            mark_loaded(cx, model, at.key);
             Loaded::Ready
         }
         _ => Loaded::Refused(at.key),
     }
 }
 
-/// Waits for the answer to a load request. `None` as soon as another engine can run the request: one that
-/// unloads a model first may keep it waiting for as long as that model's streams last, while a
-/// further replica has come elsewhere.
+/// Waits for the reply to a load request. Returns `None` as soon as another engine can run the request: an
+/// engine that has to unload a model first waits for the streams of that model, while another replica may
+/// have been loaded elsewhere.
 async fn wait_loaded(
     cx: &Arc<Context>,
     job: &Job,
@@ -162,52 +166,54 @@
     until: Instant,
 ) -> Option<Result<msg::Outcome, RecvError>> {
     loop {
-        let look = Instant::now() + LOOK_EVERY;
-        if let Ok(outcome) = timeout_at(look.min(until), pending.outcome()).await {
+        let check_at = Instant::now() + CHECK_INTERVAL;
+        if let Ok(outcome) = timeout_at(check_at.min(until), pending.outcome()).await {
             return Some(outcome);
         }
         if Instant::now() >= until {
-            // As if the agent had failed: the request is refused, and the model is to be there when its
-            // client returns.
-            pending.stand();
+            // Treated like a failure of the agent: the request is refused, and the load goes on so that the
+            // model is there when the client retries.
+            pending.detach();
             return Some(Ok(msg::Outcome::Failed));
         }
-        if ready(cx, job, refused, false).is_some() {
+        if find_ready(cx, job, refused, false).is_some() {
             return None;
         }
     }
 }
 
-/// Waits for a load from the weight store to end, if one after it would still come in time.
+/// Waits for a load from the weight store to end, if a load after that one would still be in time.
 async fn wait_for_store(
     engine: &Engine,
     model: &str,
     why: cold_start::Error,
     until: Instant,
 ) -> Loaded {
-    let load = engine.model(model).map_or(COME_BACK, |m| m.from_store);
+    let load = engine
+        .model(model)
+        .map_or(DEFAULT_RETRY_AFTER, |m| m.from_store);
     match why {
-        cold_start::Error::NoCapacity => return Loaded::Nowhere,
+        cold_start::Error::NoCapacity => return Loaded::NoCapacity,
         cold_start::Error::MissingReports => {
-            sleep(LOOK_EVERY).await;
+            sleep(CHECK_INTERVAL).await;
             return Loaded::Waited;
         }
         cold_start::Error::StoreBusy => {}
     }
-    if Instant::now() + load + RUN_TIME > until {
+    if Instant::now() + load + RUN_DURATION > until {
         return Loaded::TooLate(load);
     }
-    sleep(LOOK_EVERY).await;
+    sleep(CHECK_INTERVAL).await;
     Loaded::Waited
 }
 
-/// Asks an engine's agent for a model, and notes it as loading there until the next report says
-/// better: requests for other models would otherwise choose the same engine at the same moment.
-pub fn ask(
+/// Requests a model from an engine's agent. The model counts as loading there until the agent's next report;
+/// otherwise requests for other models would choose the same engine at the same moment.
+pub fn request(
     cx: &Arc<Context>,
     model: &str,
     at: &cold_start::Outcome,
-    of_use: Duration,
+    timeout: Duration,
     prefetch: bool,
 ) -> Option<PendingLoad> {
     let (addr, together) = {
@@ -223,10 +229,10 @@
         victims: at.victims.clone(),
         fetch: (at.from == CopyLocation::Store).then_some(together),
         prefetch,
-        timeout: of_use,
+        timeout,
     };
     let pending = cx.request_load(addr, req)?;
-    let from = [("from", source(at.from))];
+    let from = [("from", copy_label(at.from))];
     cx.page.count("loads_asked_total", &from, 1);
     let mut state = cx.state();
     if let Some((report, _)) = &mut state.view.get_mut(at.key).report
@@ -242,7 +248,7 @@
     Some(pending)
 }
 
-/// Writes the line of a model that is asked for.
+/// Logs the request for a model.
 pub fn log_load(job: &Job, model: &str, at: &cold_start::Outcome, why: &str) {
     Line::new("wake")
         .text("id", &job.meta.id)
@@ -255,8 +261,8 @@
         .write();
 }
 
-/// The label of a copy in metrics.
-fn source(from: CopyLocation) -> &'static str {
+/// The metric label of the location of a copy.
+fn copy_label(from: CopyLocation) -> &'static str {
     match from {
         CopyLocation::Memory => "memory",
         CopyLocation::Disk => "disk",
@@ -264,8 +270,8 @@
     }
 }
 
-/// Notes that an engine holds a model, ahead of the report that says so.
-fn settled(cx: &Context, model: &str, key: TargetKey) {
+/// Adds a model to the inventory of an engine before the agent reports it.
+fn mark_loaded(cx: &Context, model: &str, key: TargetKey) {
     let mut state = cx.state();
     if let Some((report, _)) = &mut state.view.get_mut(key).report {
         if report.inventory.model(model).is_none() {
--- a/crates/stair-relay/src/replicate.rs
+++ b/crates/stair-relay/src/replicate.rs
@@ -1,9 +1,9 @@
-//! Replicates declarations and the list of targets from the store.
+//! Replicates the catalogue and the list of targets from the store.
 //!
-//! One entry of a data centre watches the store, the others [`follow`](crate::follow) it; an entry that receives nothing
-//! watches by itself.
+//! One entry of a data centre watches the store, and the others [`follow`](crate::follow) it. An entry that
+//! receives nothing watches by itself.
 //!
-//! Invariant: versions only rise; an older answer of a stale store or a lagging peer changes nothing.
+//! Invariant: versions only rise; an older reply of a stale store or a lagging peer changes nothing.
 
 use std::{
     sync::Arc,
@@ -39,60 +39,62 @@
     },
     context::Context,
     follow::{
-        News,
-        Part, //
+        StateChange,
+        Watched, //
     }, //
 };
 
-/// Time of a watch. Its end shows a silent connection, so it bounds the age of the state; each call is charged.
-const WATCH_TIME: Duration = Duration::from_millis(3000);
+/// Duration of a watch. A dead connection shows only when a watch does not end in time, so this bounds the
+/// age of the state. Shorter watches cost more, since each call is charged.
+const WATCH_DURATION: Duration = Duration::from_millis(3000);
 
-/// The same for the targets at an entry that others follow.
-const FOLLOWED_TARGETS_TIME: Duration = Duration::from_millis(500);
+/// Duration of a watch of the targets at an entry that others follow.
+const FOLLOWED_TARGETS_DURATION: Duration = Duration::from_millis(500);
 
-/// The same for declarations, which have no pause after a change.
-const FOLLOWED_CATALOGUE_TIME: Duration = Duration::from_millis(1000);
+/// Duration of a watch of the catalogue at an entry that others follow. It is longer, since no pause follows
+/// a change of the catalogue.
+const FOLLOWED_CATALOGUE_DURATION: Duration = Duration::from_millis(1000);
 
-/// Pause after a failed call, doubled with each further one. Rejected calls are charged too.
-const PAUSE: Duration = Duration::from_millis(300);
+/// Pause after a failed call, doubled after each further one. Rejected calls are charged too.
+const RETRY_PAUSE: Duration = Duration::from_millis(300);
 
-/// Longest pause: changes are due within two seconds after the store is back.
-const MAX_PAUSE: Duration = Duration::from_millis(1200);
+/// Longest pause: changes are due within 2 s after the store is back.
+const MAX_RETRY_PAUSE: Duration = Duration::from_millis(1200);
 
-/// Pause between watches of the targets that bring changes, which come many times a second.
-const GATHER: Duration = Duration::from_millis(600);
+/// Pause after a watch of the targets that returned changes, which come many times a second.
+const BATCH_PAUSE: Duration = Duration::from_millis(600);
 
-/// The same while the process is young: after a power cut all targets announce new lives.
-const GATHER_YOUNG: Duration = Duration::from_millis(150);
+/// The same for a recently started process: after a power failure all targets announce new incarnations.
+const RECENT_START_BATCH_PAUSE: Duration = Duration::from_millis(150);
 
-/// Age up to which a process is young: three heartbeats of a target and its start.
-const YOUNG: Duration = Duration::from_secs(5);
+/// Age up to which a process counts as recently started: three heartbeats of a target and its start.
+const RECENT_START: Duration = Duration::from_secs(5);
 
-/// Time for which a target that is missing after the store was away is still used; a live one announces itself
-/// within two seconds.
-pub const MISSING_TIME: Duration = Duration::from_millis(1900);
+/// Time for which a target that is missing from the list after an outage of the store is still used; a
+/// running target announces itself within 2 s.
+pub const MISSING_GRACE: Duration = Duration::from_millis(1900);
 
-/// Follows the declarations for as long as the process runs.
+/// Replicates the catalogue until the process ends.
 ///
-/// A list names the store's revision, from which a watch can start; the revision of the object itself may be older
-/// than the history that the store keeps.
+/// A list states the store's revision, from which a watch can start. The revision of the object itself may be
+/// older than the store's history.
 pub async fn follow_catalogue(cx: Arc<Context>) {
     let mut health = Health::new("catalogue");
     loop {
-        cx.follow.until_alone().await;
+        cx.follow.until_not_following().await;
         let store = cx.store();
         let begun = Instant::now();
         let page = store.list(catalogue::KIND, None).await;
-        time_call(&cx, "list", begun);
+        record_call_time(&cx, "list", begun);
         match page {
             Ok(page) => {
-                health.ok();
+                health.record_success();
                 let objects = page.objects.into_iter();
                 let found = objects.filter(|o| *o.name == *catalogue::NAME);
-                found.for_each(|o| take_catalogue(&cx, o));
+                found.for_each(|o| receive_catalogue(&cx, o));
                 watch_catalogue(&cx, &store, page.revision, &mut health).await;
             }
-            Err(e) => health.failed(&e),
+            Err(e) => health.record_failure(&e),
         }
         sleep(health.pause()).await;
     }
@@ -100,41 +102,44 @@
 
 async fn watch_catalogue(cx: &Context, store: &Store, mut since: u64, health: &mut Health) {
     while !cx.follow.follows() {
-        let wait = cx.follow.wait(WATCH_TIME, FOLLOWED_CATALOGUE_TIME);
-        cx.follow.expects(Part::Catalogue, wait);
+        let wait = cx
+            .follow
+            .watch_duration(WATCH_DURATION, FOLLOWED_CATALOGUE_DURATION);
+        cx.follow.expect_reply(Watched::Catalogue, wait);
         match store.watch(catalogue::KIND, since, wait).await {
-            Ok(news) => {
-                health.ok();
-                since = news.revision;
-                for change in news.changes {
+            Ok(update) => {
+                health.record_success();
+                since = update.revision;
+                for change in update.changes {
                     if let Change::Put(object) = change
                         && *object.name == *catalogue::NAME
                     {
-                        take_catalogue(cx, object);
+                        receive_catalogue(cx, object);
                     }
                 }
             }
-            Err(e) => return watch_ended(cx, Part::Catalogue, health, &e),
+            Err(e) => return record_watch_error(cx, Watched::Catalogue, health, &e),
         }
     }
 }
 
-/// Takes in why a watch has ended. One whose history is gone is read anew; the store is there.
-fn watch_ended(cx: &Context, part: Part, health: &mut Health, e: &Error) {
+/// Records why a watch ended. When the store has dropped the history since the last revision, the list is
+/// read again; this is not an outage.
+fn record_watch_error(cx: &Context, watched: Watched, health: &mut Health, e: &Error) {
     if *e == Error::Gone {
-        cx.follow.expects(part, PAUSE);
+        cx.follow.expect_reply(watched, RETRY_PAUSE);
         return;
     }
-    cx.follow.fails(part);
-    health.failed(e);
+    cx.follow.record_failure(watched);
+    health.record_failure(e);
 }
 
-fn take_catalogue(cx: &Context, mut object: Object) {
+fn receive_catalogue(cx: &Context, mut object: Object) {
     let decoded = catalogue::decode(&object.spec);
     workspace::wipe_keys(&mut object.spec);
     match decoded {
         Ok(new) => apply_catalogue(cx, new, "store"),
-        // The last good one stays in force.
+        // The last valid catalogue stays in force.
         Err(e) => Line::failure("catalogue.unreadable")
             .num("revision", object.revision)
             .show("error", e)
@@ -142,7 +147,7 @@
     }
 }
 
-/// Puts a catalogue in force unless a newer one is.
+/// Puts a catalogue in force unless one as new or newer is.
 pub fn apply_catalogue(cx: &Context, new: Catalogue, source: &str) {
     let version = new.version;
     {
@@ -160,31 +165,31 @@
         .write();
     let gauge = i64::try_from(version).unwrap_or(i64::MAX);
     cx.page.gauge("catalogue_version", &[], gauge);
-    cx.follow.publish(News::Catalogue);
+    cx.follow.publish(StateChange::Catalogue);
     cx.changed.notify_waiters();
 }
 
-/// Follows the targets for as long as the process runs.
+/// Replicates the targets until the process ends.
 pub async fn follow_targets(cx: Arc<Context>) {
     let mut health = Health::new("targets");
     loop {
-        cx.declared().await;
-        cx.follow.until_alone().await;
+        cx.until_declared().await;
+        cx.follow.until_not_following().await;
         let store = cx.store();
         match list_targets(&cx, &store).await {
             Ok((targets, revision)) => {
-                let was_away = health.ok();
-                apply_targets(&cx, targets, revision, was_away);
+                let was_unavailable = health.record_success();
+                apply_store_list(&cx, targets, revision, was_unavailable);
                 watch_targets(&cx, &store, &mut health).await;
             }
-            Err(e) => health.failed(&e),
+            Err(e) => health.record_failure(&e),
         }
         sleep(health.pause()).await;
     }
 }
 
-/// Takes the time of a store call that does not wait for changes, answered or not.
-fn time_call(cx: &Context, call: &str, begun: Instant) {
+/// Records the duration of a store call that does not wait for changes, whether it succeeds or not.
+fn record_call_time(cx: &Context, call: &str, begun: Instant) {
     let labels = [("call", call)];
     cx.page.time("store_call_ms", &labels, begun.elapsed());
 }
@@ -196,9 +201,9 @@
     loop {
         let begun = Instant::now();
         let page = store.list(target::KIND, after.as_deref()).await;
-        time_call(cx, "list", begun);
+        record_call_time(cx, "list", begun);
         let page = page?;
-        // Changes between pages are seen again by a watch from the first page's revision.
+        // A watch from the first page's revision returns the changes made between pages.
         revision.get_or_insert(page.revision);
         after = page.objects.last().map(|o| o.name.clone());
         targets.extend(page.objects.iter().filter_map(change::decode));
@@ -208,11 +213,12 @@
     }
 }
 
-/// Takes a whole list in. After the store was away, what is missing may only be late.
-fn apply_targets(cx: &Context, targets: Vec<Target>, revision: u64, was_away: bool) {
+/// Applies a whole list from the store. A target that is missing after an outage of the store gets
+/// [`MISSING_GRACE`], as its announcement may only be late.
+fn apply_store_list(cx: &Context, targets: Vec<Target>, revision: u64, was_unavailable: bool) {
     let now = cx.now();
-    let grace = if was_away {
-        MISSING_TIME
+    let grace = if was_unavailable {
+        MISSING_GRACE
     } else {
         Duration::ZERO
     };
@@ -224,13 +230,13 @@
         }
         state.view.expire(now);
         state.view.replace(targets, revision, now + grace, now);
-        state.drop_former();
+        state.drop_stale_incarnations();
     }
     log_list(cx, revision, count, "store");
 }
 
-/// Takes the list of a peer in, unless this entry's is as new.
-pub fn apply_listed(cx: &Context, listed: Vec<Listed>, revision: u64, peer: &str) {
+/// Applies the list of a peer, unless this entry's is as new.
+pub fn apply_peer_list(cx: &Context, listed: Vec<Listed>, revision: u64, peer: &str) {
     let count = listed.len() as i64;
     {
         let mut state = cx.state();
@@ -238,7 +244,7 @@
             return;
         }
         state.view.replace_from_peer(listed, revision, cx.now());
-        state.drop_former();
+        state.drop_stale_incarnations();
     }
     log_list(cx, revision, count, peer);
 }
@@ -249,52 +255,58 @@
         .num("count", count)
         .text("source", source)
         .write();
-    cx.follow.publish(News::Whole);
+    cx.follow.publish(StateChange::Whole);
     cx.changed.notify_waiters();
 }
 
-/// Watches for as long as the store answers. What a peer has told meanwhile is not asked for again.
+/// Watches the targets while the store replies, always from the newest revision known, also from a peer.
 async fn watch_targets(cx: &Context, store: &Store, health: &mut Health) {
     loop {
-        cx.follow.until_alone().await;
+        cx.follow.until_not_following().await;
         let since = cx.state().view.revision;
-        let wait = cx.follow.wait(WATCH_TIME, FOLLOWED_TARGETS_TIME);
-        cx.follow.expects(Part::Targets, wait);
+        let wait = cx
+            .follow
+            .watch_duration(WATCH_DURATION, FOLLOWED_TARGETS_DURATION);
+        cx.follow.expect_reply(Watched::Targets, wait);
         match store.watch(target::KIND, since, wait).await {
-            Ok(news) => {
-                health.ok();
+            Ok(update) => {
+                health.record_success();
                 let changes: Vec<TargetChange> =
-                    news.changes.into_iter().map(TargetChange::from).collect();
+                    update.changes.into_iter().map(TargetChange::from).collect();
                 let any = !changes.is_empty();
-                take_changes(cx, changes, news.revision);
+                apply_changes(cx, changes, update.revision);
                 if any {
-                    let young = cx.now() < YOUNG;
-                    let pause = if young { GATHER_YOUNG } else { GATHER };
-                    cx.follow.expects(Part::Targets, pause);
+                    let recent = cx.now() < RECENT_START;
+                    let pause = if recent {
+                        RECENT_START_BATCH_PAUSE
+                    } else {
+                        BATCH_PAUSE
+                    };
+                    cx.follow.expect_reply(Watched::Targets, pause);
                     sleep(pause).await;
                 }
             }
-            // Without an outage what is missing from the new list is gone.
-            Err(e) => return watch_ended(cx, Part::Targets, health, &e),
+            // Without an outage a target that is missing from the next list has been removed.
+            Err(e) => return record_watch_error(cx, Watched::Targets, health, &e),
         }
     }
 }
 
-/// Takes changes of the list in, from the store or from a peer that watches it, up to a revision.
-pub fn take_changes(cx: &Context, changes: Vec<TargetChange>, revision: u64) {
+/// Applies changes of the list up to a revision, from the store or from the peer that watches it.
+pub fn apply_changes(cx: &Context, changes: Vec<TargetChange>, revision: u64) {
     let mut lines = Vec::new();
-    let mut weighed = Vec::new();
+    let mut ranked = Vec::new();
     let any = !changes.is_empty();
     {
         let mut state = cx.state();
-        // What a peer tells can be older than what the store has told since.
+        // A peer's changes can be older than those received from the store.
         if revision < state.view.revision {
             return;
         }
         let now = cx.now();
         state.view.expire(now);
         for change in changes {
-            let weight = change.weight(&state.view);
+            let urgency = change.urgency(&state.view);
             let was = state.view.state_of(change.id());
             match &change {
                 TargetChange::Removed(id) => state.view.remove(id),
@@ -306,7 +318,7 @@
             if was != is {
                 lines.push((Box::<str>::from(change.id()), is));
             }
-            weighed.push((change, weight));
+            ranked.push((change, urgency));
         }
         state.view.revision = revision;
     }
@@ -318,16 +330,16 @@
             .num("revision", revision)
             .write();
     }
-    cx.follow.changed(weighed, revision);
+    cx.follow.changed(ranked, revision);
     if any {
         cx.changed.notify_waiters();
     }
 }
 
-/// Says once when the store is lost and once when it is regained.
+/// Logs once when calls of the store begin to fail and once when they succeed again.
 struct Health {
     part: &'static str,
-    /// Calls in a row that have failed.
+    /// Consecutive failed calls.
     failures: u32,
 }
 
@@ -336,8 +348,8 @@
         Self { part, failures: 0 }
     }
 
-    /// Returns whether it was away.
-    fn ok(&mut self) -> bool {
+    /// Records a successful call. Returns whether the previous one had failed.
+    fn record_success(&mut self) -> bool {
         let was = std::mem::take(&mut self.failures) > 0;
         if was {
             Line::failure("store.regained")
@@ -347,7 +359,7 @@
         was
     }
 
-    fn failed(&mut self, e: &Error) {
+    fn record_failure(&mut self, e: &Error) {
         if self.failures == 0 {
             Line::failure("store.lost")
                 .text("part", self.part)
@@ -357,10 +369,10 @@
         self.failures = self.failures.saturating_add(1);
     }
 
-    /// How long to wait before the next call.
+    /// The pause before the next call.
     fn pause(&self) -> Duration {
-        // Beyond a few doublings the bound decides.
+        // After a few doublings the bound applies.
         let doublings = self.failures.saturating_sub(1).min(4);
-        (PAUSE * 2_u32.pow(doublings)).min(MAX_PAUSE)
+        (RETRY_PAUSE * 2_u32.pow(doublings)).min(MAX_RETRY_PAUSE)
     }
 }
--- /dev/null
+++ b/crates/stair-relay/src/select.rs
@@ -0,0 +1,419 @@
+//! Selects a target for a request, or has the model loaded at one and waits for it.
+
+use std::{
+    net::SocketAddr,
+    sync::Arc,
+    time::Duration, //
+};
+
+use stair_fleet::{
+    choose, cold_start,
+    msg::{
+        self,
+        LoadRequest, //
+    },
+    overload::{
+        Decision,
+        decide,
+        is_fast, //
+    },
+    target::CopyLocation,
+    view::TargetKey,
+};
+use stair_telemetry::event::Line;
+use tokio::time::{
+    Instant,
+    timeout_at, //
+};
+use xxhash_rust::xxh3::xxh3_64;
+
+use crate::{
+    context::{
+        Context,
+        InFlight, //
+    },
+    job::Job,
+    load::{
+        Loaded,
+        load,
+        load_at, //
+        log_load,
+        request,
+    },
+    outage,
+    prefill::{
+        self,
+        PromptEstimate,
+        Reservation,
+        reserve, //
+    },
+};
+
+/// Limit for an agent to load an adapter, which may have to wait for free memory.
+const ADAPTER_TIMEOUT: Duration = Duration::from_millis(1500);
+
+/// Time for which a load of another replica is of use: as long as requests wait for the slow one.
+const REPLICA_TTL: Duration = Duration::from_secs(2);
+
+/// Time reserved for the run itself while a request waits for a load or a prefill slot.
+pub(crate) const RUN_DURATION: Duration = Duration::from_millis(400);
+
+/// Retry-After when it is unknown when a target will be free.
+pub(crate) const DEFAULT_RETRY_AFTER: Duration = Duration::from_millis(700);
+
+/// Rounds of one search. The limit ends a search in which agents refuse the request again and again.
+const MAX_ROUNDS: u32 = 12;
+
+/// A request waits for an engine that is down for its time divided by this; the rest is left for the client's
+/// retry.
+const OUTAGE_WAIT_DIVISOR: u32 = 2;
+
+/// Interval in which a waiting request searches for a target again.
+pub(crate) const CHECK_INTERVAL: Duration = Duration::from_millis(300);
+
+/// Engines that may fail to load the request's adapter; after that a request is sent to an engine without it.
+const MAX_REFUSED: usize = 2;
+
+/// Engines that may refuse a prefill slot before a late response is accepted. More than one is tried, as
+/// reports of load lag behind the agents' replies.
+pub(crate) const MAX_FULL: u32 = 2;
+
+/// The target that a request is sent to.
+pub struct Selected {
+    /// The guard that counts the request at the target.
+    pub in_flight: InFlight,
+    /// The target's address.
+    pub addr: SocketAddr,
+    /// The target's id.
+    pub id: Box<str>,
+    /// The estimated wait by which the target was chosen, in milliseconds.
+    pub wait_ms: f64,
+    /// Estimated time until the target has finished the prefill; 0 if unknown.
+    pub reads: Duration,
+    /// Time of the selection, right before the request is sent.
+    pub selected_at: Instant,
+}
+
+/// No target can run the request in time.
+pub struct NoTarget {
+    /// The delay after which a retry may succeed.
+    pub retry_after: Duration,
+}
+
+/// Selects a target that is not in `tried`, until `until`. The time in which the route promises an event
+/// began at `since`.
+///
+/// # Errors
+///
+/// [`NoTarget`] as soon as it is known that none can run the request in time.
+pub async fn select(
+    cx: &Arc<Context>,
+    job: &Job,
+    tried: &[TargetKey],
+    since: Instant,
+    until: Instant,
+) -> Result<Selected, NoTarget> {
+    let mut search = Search::new(since, until);
+    let outage_until = since + until.saturating_duration_since(since) / OUTAGE_WAIT_DIVISOR;
+    let mut rounds = 0;
+    while rounds < MAX_ROUNDS && Instant::now() < until {
+        let best = find_ready(cx, job, tried, false);
+        let mut excluded = search.refused.clone();
+        excluded.extend_from_slice(tried);
+        let left = until.saturating_duration_since(Instant::now());
+        let objective = job.route.objective;
+        let placement = match &best {
+            Some(at) if !is_fast(at, objective) => replica_placement(cx, job, &excluded),
+            _ => None,
+        };
+        let decision = decide(best.as_ref(), placement.as_ref(), objective, left);
+        let step = match (decision, best) {
+            (Decision::Send, Some(at)) => prepare(cx, job, at, &mut search).await,
+            (Decision::SendAndLoad, Some(at)) => {
+                request_replica(cx, job, placement.as_ref(), &mut search);
+                prepare(cx, job, at, &mut search).await
+            }
+            (Decision::Refuse, Some(at)) => {
+                let retry_after = Duration::from_secs_f64(at.wait_ms / 1000.0).saturating_sub(left);
+                return Err(NoTarget::after(retry_after));
+            }
+            _ => Step::Load,
+        };
+        let loaded = match step {
+            Step::Selected(selected) => return Ok(selected),
+            Step::Retry => None,
+            Step::SlotTooLate(wait) => match &placement {
+                Some(placement) => {
+                    Some(load_at(cx, job, placement, &excluded, outage_until, until).await)
+                }
+                None => return Err(NoTarget::after(wait)),
+            },
+            Step::Load => match job.model_of_engine() {
+                Some((model, engine)) => {
+                    Some(load(cx, job, model, engine, &excluded, outage_until, until).await)
+                }
+                None => break,
+            },
+        };
+        match loaded {
+            None | Some(Loaded::Ready) => {}
+            // Not counted as a round: the deadline bounds these waits.
+            Some(Loaded::Waited) => continue,
+            Some(Loaded::Refused(key)) => search.refused.push(key),
+            Some(Loaded::EngineDown) => {
+                outage::wait_for_return(cx, job, tried, outage_until).await;
+            }
+            Some(Loaded::TooLate(retry_after)) => {
+                if !outage::wait_for_return(cx, job, tried, outage_until).await {
+                    count_unserved(cx, job);
+                    return Err(NoTarget { retry_after });
+                }
+            }
+            Some(Loaded::NoCapacity) => {
+                if !outage::wait_for_return(cx, job, tried, outage_until).await {
+                    break;
+                }
+            }
+        }
+        rounds += 1;
+    }
+    select_suspect(cx, job, tried, &search).await
+}
+
+fn count_unserved(cx: &Context, job: &Job) {
+    if let Some((model, _)) = job.model_of_engine() {
+        let now = cx.now();
+        cx.state().count_unserved(model, now);
+    }
+}
+
+/// Selects a suspect target, which is better than none.
+async fn select_suspect(
+    cx: &Arc<Context>,
+    job: &Job,
+    tried: &[TargetKey],
+    search: &Search,
+) -> Result<Selected, NoTarget> {
+    let Some(at) = find_ready(cx, job, tried, true) else {
+        return Err(NoTarget::after(Duration::ZERO));
+    };
+    let opts = prefill::Options {
+        full: MAX_FULL,
+        ..search.reservation
+    };
+    match reserve(cx, job, at.key, &opts).await {
+        Reservation::Granted(prompt) => {
+            dispatch(cx, job, at, prompt, true).ok_or(NoTarget::after(Duration::ZERO))
+        }
+        Reservation::Retry => Err(NoTarget::after(Duration::ZERO)),
+        Reservation::Full(wait) => Err(NoTarget::after(wait)),
+    }
+}
+
+impl NoTarget {
+    fn after(retry_after: Duration) -> Self {
+        Self {
+            retry_after: retry_after.max(DEFAULT_RETRY_AFTER),
+        }
+    }
+}
+
+/// The state of the search for a target.
+struct Search {
+    /// Engines that refused to load the model or the adapter.
+    refused: Vec<TargetKey>,
+    /// The options of the next request for a prefill slot.
+    reservation: prefill::Options,
+    /// Whether another replica was requested.
+    replica_requested: bool,
+}
+
+impl Search {
+    fn new(since: Instant, until: Instant) -> Self {
+        Self {
+            refused: Vec::new(),
+            reservation: prefill::Options {
+                since,
+                until,
+                full: 0,
+                first: true,
+            },
+            replica_requested: false,
+        }
+    }
+}
+
+enum Step {
+    Selected(Selected),
+    /// Search again with the state that has changed.
+    Retry,
+    /// No engine has a prefill slot in time; the wait at the last one tried.
+    SlotTooLate(Duration),
+    /// No target can run the request now, so the model has to be loaded.
+    Load,
+}
+
+/// Has the adapter loaded and a prefill slot reserved at a target, if its agent can be reached.
+async fn prepare(cx: &Arc<Context>, job: &Job, at: choose::Outcome, search: &mut Search) -> Step {
+    if !ensure_adapter(cx, job, at.key, search.reservation.until).await {
+        search.refused.push(at.key);
+        if search.refused.len() <= MAX_REFUSED {
+            return Step::Retry;
+        }
+    }
+    let opts = search.reservation;
+    search.reservation.first = false;
+    match reserve(cx, job, at.key, &opts).await {
+        Reservation::Granted(prompt) => {
+            dispatch(cx, job, at, prompt, false).map_or(Step::Retry, Step::Selected)
+        }
+        Reservation::Retry => Step::Retry,
+        Reservation::Full(wait) if opts.full >= MAX_FULL => Step::SlotTooLate(wait),
+        Reservation::Full(_) => {
+            search.reservation.full += 1;
+            Step::Retry
+        }
+    }
+}
+
+/// Requests another replica for later requests, at most once for each request.
+fn request_replica(
+    cx: &Arc<Context>,
+    job: &Job,
+    placement: Option<&cold_start::Outcome>,
+    search: &mut Search,
+) {
+    if let (Some(placement), Some(model)) = (placement, &job.meta.model)
+        && !std::mem::replace(&mut search.replica_requested, true)
+    {
+        log_load(job, model, placement, "beside");
+        // The agent's next report shows the outcome.
+        if let Some(mut pending) = request(cx, model, placement, REPLICA_TTL, true) {
+            pending.detach();
+        }
+    }
+}
+
+/// The placement of another replica for a model whose best target is slow. It must not come from the weight
+/// store.
+pub(crate) fn replica_placement(
+    cx: &Arc<Context>,
+    job: &Job,
+    excluded: &[TargetKey],
+) -> Option<cold_start::Outcome> {
+    let (model, engine) = job.model_of_engine()?;
+    let state = cx.state();
+    let now = cx.now();
+    let at = cold_start::choose(&state.view, &job.service, engine, model, excluded, now)?;
+    (at.from != CopyLocation::Store).then_some(at)
+}
+
+pub(crate) fn find_ready(
+    cx: &Arc<Context>,
+    job: &Job,
+    tried: &[TargetKey],
+    suspects: bool,
+) -> Option<choose::Outcome> {
+    let opts = choose::Options {
+        service: &job.service,
+        model: job.model_of_engine().map(|(m, _)| m),
+        adapter: job.meta.adapter.as_deref(),
+        tokens: job.meta.prompt_tokens,
+        shared: job.shared_prefix,
+        data_centre: cx.settings.data_centre.as_str(),
+        tried,
+        salt: xxh3_64(job.meta.id.as_bytes()),
+        suspects,
+    };
+    choose::choose(&cx.state().view, &opts, cx.now())
+}
+
+/// Returns the selected target, unless it has announced its shutdown while an adapter or a slot was waited
+/// for: a request sent there would be lost.
+fn dispatch(
+    cx: &Arc<Context>,
+    job: &Job,
+    at: choose::Outcome,
+    prompt: PromptEstimate,
+    suspects: bool,
+) -> Option<Selected> {
+    let (addr, id, age) = {
+        let state = cx.state();
+        let target_state = state.view.get(at.key);
+        if !target_state.accepts(suspects, cx.now()) {
+            return None;
+        }
+        let age = target_state
+            .report
+            .as_ref()
+            .map(|(_, t)| cx.now().saturating_sub(*t));
+        (
+            target_state.target.addr,
+            target_state.target.id.clone(),
+            age,
+        )
+    };
+    let model = job.model_of_engine().map(|(m, _)| m);
+    let adapter = job.meta.adapter.as_deref();
+    let in_flight = InFlight::begin(cx.clone(), at.key, model, adapter, job.meta.prompt_tokens);
+    Line::new("chosen")
+        .text("id", &job.meta.id)
+        .text("target", &id)
+        .show("addr", addr)
+        .num("wait_ms", at.wait_ms as i64)
+        .num("kept", prompt.cached)
+        .ms("reads_ms", prompt.reads)
+        .ms(
+            "report_age_ms",
+            age.unwrap_or(Duration::MAX.min(Duration::from_secs(999))),
+        )
+        .write();
+    Some(Selected {
+        in_flight,
+        addr,
+        id,
+        wait_ms: at.wait_ms,
+        reads: prompt.reads,
+        selected_at: Instant::now(),
+    })
+}
+
+/// Has the adapter loaded at the target unless it is there. Returns false when it could not be loaded in
+/// time.
+async fn ensure_adapter(cx: &Arc<Context>, job: &Job, key: TargetKey, until: Instant) -> bool {
+    let (Some(model), Some(adapter)) = (&job.meta.model, &job.meta.adapter) else {
+        return true;
+    };
+    let addr = {
+        let state = cx.state();
+        let target_state = state.view.get(key);
+        let held = target_state.inventory(cx.now()).model(model);
+        if held.is_some_and(|h| h.adapters.contains(adapter)) {
+            return true;
+        }
+        target_state.target.addr
+    };
+    let req = LoadRequest {
+        seq: 0,
+        model: model.clone(),
+        adapter: Some(adapter.clone()),
+        victims: Vec::new(),
+        fetch: None,
+        prefetch: false,
+        timeout: ADAPTER_TIMEOUT,
+    };
+    let begun = Instant::now();
+    let Some(mut pending) = cx.request_load(addr, req) else {
+        return false;
+    };
+    let until = until.min(begun + ADAPTER_TIMEOUT);
+    let outcome = timeout_at(until, pending.outcome()).await;
+    Line::new("adapter")
+        .text("id", &job.meta.id)
+        .text("adapter", adapter)
+        .show("addr", addr)
+        .show("outcome", format_args!("{outcome:?}"))
+        .ms("took_ms", begun.elapsed())
+        .write();
+    matches!(outcome, Ok(Ok(msg::Outcome::Ready)))
+}
--- a/crates/stair-sidecar/src/process/receive.rs
+++ b/crates/stair-sidecar/src/process/receive.rs
@@ -1,4 +1,4 @@
-//! What the agent hears from entries, and which life of its engine it believes in.
+//! Handles the messages of entries, and tracks the engine's present incarnation.
 
 use stair_fleet::{
     msg::{
@@ -20,7 +20,7 @@
 };
 
 impl Agent {
-    pub(super) fn take(&mut self, event: Event) {
+    pub(super) fn handle(&mut self, event: Event) {
         match event {
             Event::Opened(key, tx) => {
                 self.links.push(Link {
@@ -36,7 +36,7 @@
                 self.controller.disconnected(key);
             }
             Event::Message(key, msg) => self.receive(key, msg),
-            // Whoever asked may have gone.
+            // Fails when the operator's connection has ended.
             Event::Dump(tx) => drop(tx.send(self.dump())),
         }
     }
@@ -65,13 +65,13 @@
                 self.declaration_requested_at = None;
                 self.controller.declare(engine);
             }
-            // An entry that lags sends what is no longer in force.
+            // A lagging entry sends a declaration that is no longer in force.
             ToAgent::Declaration { .. } => {}
             ToAgent::Incarnation { id, revision } => {
                 self.update_incarnation(id, revision);
-                // The entry begins with this life and knows nothing of what it holds: what was told
-                // before it knew of this life counted for the one before, and a model on the disk
-                // would be fetched from the weight store.
+                // The entry has just learnt of this incarnation and has no inventory for it: earlier
+                // reports counted for the previous one. Without the report, a model on the engine's
+                // disk would be loaded from the weight store.
                 self.publish_all(key);
             }
             ToAgent::StaleIncarnation(id) => self.receive_stale_incarnation(id),
@@ -89,36 +89,36 @@
                 Line::new("want.taken_back").num("seq", seq).write();
                 self.controller.cancel(LoadRequestId { link: key, seq });
             }
-            ToAgent::Prefill { seq, request: ask } => {
-                let answer = if self.controller.is_evicting(&ask.model) {
-                    Reply::model_draining(&ask)
+            ToAgent::Prefill { seq, request } => {
+                let reply = if self.controller.is_draining(&request.model) {
+                    Reply::model_draining(&request)
                 } else {
                     self.prefills
-                        .reserve(&ask, self.controller.memory_tokens(), now)
+                        .reserve(&request, self.controller.memory_tokens(), now)
                 };
-                // One that asks again has been counted.
-                if answer.reserved || ask.first {
-                    let work = self.prefills.prefill_time(&ask, answer.cached);
+                // A repeated request has been counted already.
+                if reply.reserved || request.first {
+                    let work = self.prefills.prefill_time(&request, reply.cached);
                     self.controller
-                        .record_prompt(&ask.model, answer.reserved, work, now);
+                        .record_prompt(&request.model, reply.reserved, work, now);
                 }
                 let link = self.links.iter().find(|l| l.key == key);
-                // An entry that does not read goes without its slot.
-                link.map(|l| l.tx.try_send(ToEntry::Prefill { seq, reply: answer }));
+                // An entry that does not read gets no slot.
+                link.map(|l| l.tx.try_send(ToEntry::Prefill { seq, reply }));
             }
             ToAgent::Unserved(model) => self.controller.record_unserved(&model, now),
             ToAgent::Used(list) => self.controller.record_use(key, &list, now),
             ToAgent::PrefillTimes(list) => list.iter().for_each(|r| self.prefills.record(r)),
-            // Answered by the link itself.
+            // Handled by the link.
             ToAgent::QuotaRequest { .. } | ToAgent::QuotaRefund { .. } | ToAgent::Quarantine(_) => {
             }
         }
     }
 
-    /// Takes in that the engine has said it is not this life, to an entry or to this agent.
+    /// Records that the engine has rejected `id` as stale, to an entry or to this agent.
     ///
-    /// The refusal need not name the present life. Until that is known, entries are told that the engine takes no
-    /// orders.
+    /// The rejection need not state the present incarnation. Until that is known, load requests end
+    /// with [`NoControl`](stair_fleet::msg::Outcome::NoControl).
     pub(super) fn receive_stale_incarnation(&mut self, id: Box<str>) {
         if self.stale_incarnation.as_ref() == Some(&id) {
             return;
@@ -131,8 +131,9 @@
         self.broadcast(&ToEntry::StaleIncarnation(id));
     }
 
+    /// Replaces the engine's present incarnation, unless `id` is stale or the revision older.
     pub(super) fn update_incarnation(&mut self, id: Box<str>, revision: u64) {
-        // An entry that lags still names the life before.
+        // A lagging entry still states the previous incarnation.
         if self.stale_incarnation.as_ref() == Some(&id) {
             return;
         }
--- a/crates/stair-sidecar/src/quotas.rs
+++ b/crates/stair-sidecar/src/quotas.rs
@@ -1,7 +1,7 @@
-//! Counts the allowances of workspaces for all entries.
+//! Counts the quotas of workspaces for all entries.
 //!
-//! Which agent counts a workspace is the entries' choice; see [`quota`](stair_fleet::quota) for what
-//! holds when they do not agree.
+//! Entries choose the agent that counts a workspace; see [`quota`](stair_fleet::quota) for the
+//! limits that hold while they disagree.
 
 use std::{
     sync::{
@@ -25,7 +25,7 @@
 };
 use tokio::time::Instant;
 
-/// The allowances that this agent counts.
+/// The quotas that this agent counts.
 pub struct Quotas {
     started: Instant,
     page: Arc<Page>,
@@ -33,7 +33,7 @@
 }
 
 impl Quotas {
-    /// Makes it with nothing counted yet.
+    /// Creates an empty ledger; outcomes are counted on `page`.
     pub fn new(page: Arc<Page>) -> Self {
         Self {
             started: Instant::now(),
@@ -42,22 +42,23 @@
         }
     }
 
-    /// Answers an entry.
-    pub fn request(&self, ask: &Request) -> Reply {
+    /// Charges a request of a workspace to its quota, and returns whether it was granted. Logs when the
+    /// workspace exceeds its quota or is within it again.
+    pub fn request(&self, request: &Request) -> Reply {
         let now = self.now();
-        let (reply, crossing) = self.lock().handle(ask, now);
+        let (reply, crossing) = self.lock().handle(request, now);
         if let Some(crossing) = crossing {
             let event = match crossing {
                 Crossing::Over => "allowance.over",
                 Crossing::Under => "allowance.under",
             };
             Line::failure(event)
-                .text("workspace", &ask.workspace)
-                .num("catalogue", ask.version)
-                .num("per_s", ask.quota.per_s as i64)
-                .num("burst", ask.quota.burst as i64)
+                .text("workspace", &request.workspace)
+                .num("catalogue", request.version)
+                .num("per_s", request.quota.per_s as i64)
+                .num("burst", request.quota.burst as i64)
                 .ms("wait_ms", reply.wait)
-                .flag("stand_in", ask.stand_in)
+                .flag("stand_in", request.stand_in)
                 .write();
         }
         let outcome = if reply.granted { "granted" } else { "refused" };
@@ -66,13 +67,13 @@
         reply
     }
 
-    /// Gives back what a request has cost that was not run.
+    /// Refunds the cost of a request that was not run.
     pub fn refund(&self, workspace: &str, cost: f64) {
         let now = self.now();
         self.lock().refund(workspace, cost, now);
     }
 
-    /// What is left of each.
+    /// Returns a copy of the ledger.
     pub fn ledger(&self) -> Ledger {
         self.lock().clone()
     }
