--- a/crates/stair-http/src/client.rs
+++ b/crates/stair-http/src/client.rs
@@ -148,25 +148,25 @@
         if let Ok(host) = host.parse() {
             req.headers_mut().insert(hyper::header::HOST, host);
         }
-        match timeout(head_time, self.send_on_any(req)).await {
-            Ok(Ok(answer)) if !answer.has_end() => {
+        match timeout(head_time, self.send_on_idle_or_new(req)).await {
+            Ok(Ok(resp)) if !resp.has_end() => {
                 Err(Error::Lost("the answer does not say where it ends".into()))
             }
             Ok(result) => result,
             // Whether the request left before the time was up is unknown.
             Err(_) => {
-                self.forget_idle();
+                self.close_idle();
                 Err(Error::Lost("no answer in time".into()))
             }
         }
     }
 
-    async fn send_on_any(&self, mut req: Request<Full<Bytes>>) -> Result<Answer, Error> {
+    async fn send_on_idle_or_new(&self, mut req: Request<Full<Bytes>>) -> Result<Answer, Error> {
         // A pooled connection may have been closed by the other end meanwhile. Hyper hands the
         // request back in that case only when it was not sent, so the next try is safe.
         while let Some(mut conn) = self.take_idle() {
             match conn.try_send_request(req).await {
-                Ok(resp) => return Ok(self.answer(conn, resp)),
+                Ok(resp) => return Ok(self.response(conn, resp)),
                 Err(mut e) => match e.take_message() {
                     Some(unsent) => req = unsent,
                     None => return Err(Error::Lost(e.into_error().to_string().into())),
@@ -175,7 +175,7 @@
         }
         let mut conn = self.connect().await?;
         match conn.try_send_request(req).await {
-            Ok(resp) => Ok(self.answer(conn, resp)),
+            Ok(resp) => Ok(self.response(conn, resp)),
             Err(mut e) => match e.take_message() {
                 Some(_) => Err(Error::NotSent(e.into_error().to_string().into())),
                 None => Err(Error::Lost(e.into_error().to_string().into())),
@@ -215,7 +215,7 @@
         None
     }
 
-    fn give_back(&self, conn: Connection) {
+    fn release(&self, conn: Connection) {
         let since = Instant::now();
         let mut idle = self.idle();
         if idle.len() < self.inner.opts.max_idle {
@@ -223,7 +223,7 @@
         }
     }
 
-    fn forget_idle(&self) {
+    fn close_idle(&self) {
         self.idle().clear();
     }
 
@@ -234,7 +234,7 @@
             .unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn answer(&self, conn: Connection, resp: hyper::Response<Incoming>) -> Answer {
+    fn response(&self, conn: Connection, resp: hyper::Response<Incoming>) -> Answer {
         let (head, body) = resp.into_parts();
         Answer {
             head,
@@ -270,7 +270,7 @@
                     return Ok(None);
                 }
                 Err(_) => {
-                    self.client.forget_idle();
+                    self.client.close_idle();
                     return Err(Error::Lost("the answer fell silent".into()));
                 }
             };
@@ -307,7 +307,7 @@
 
     fn finish(&mut self) {
         if let Some(conn) = self.conn.take() {
-            self.client.give_back(conn);
+            self.client.release(conn);
         }
     }
 }
--- a/crates/stair-http/src/server.rs
+++ b/crates/stair-http/src/server.rs
@@ -109,8 +109,8 @@
     let _slot = slot;
     let _ = stream.set_nodelay(true);
     let service = service_fn(move |req| {
-        let answer = handler(req);
-        async move { Ok::<_, Infallible>(answer.await) }
+        let response = handler(req);
+        async move { Ok::<_, Infallible>(response.await) }
     });
     let conn = http1::Builder::new()
         .timer(TokioTimer::new())
--- a/crates/stair-http/tests/end_of_answer.rs
+++ b/crates/stair-http/tests/end_of_response.rs
@@ -22,20 +22,20 @@
 const LONG: Duration = Duration::from_secs(30);
 
 /// Answers one request with these bytes and closes the connection.
-async fn target(answer: &'static str) -> SocketAddr {
+async fn serve_once(response: &'static str) -> SocketAddr {
     let any_port: SocketAddr = ([127, 0, 0, 1], 0).into();
     let listener = TcpListener::bind(any_port).await.expect("a free port");
     let addr = listener.local_addr().expect("it is bound");
     tokio::spawn(async move {
         let (mut stream, _) = listener.accept().await.expect("the client connects");
         let _ = stream.read(&mut [0; 4096]).await;
-        let _ = stream.write_all(answer.as_bytes()).await;
+        let _ = stream.write_all(response.as_bytes()).await;
     });
     addr
 }
 
-async fn ask(answer: &'static str) -> Result<Bytes, client::Error> {
-    let client = Client::new(target(answer).await, client::Options::default());
+async fn fetch(response: &'static str) -> Result<Bytes, client::Error> {
+    let client = Client::new(serve_once(response).await, client::Options::default());
     let req = Request::get("/")
         .body(Default::default())
         .expect("a request");
@@ -46,17 +46,17 @@
 // the connection closes, too, and the caller would take half of a document for all of it.
 #[tokio::test]
 async fn closed_connection() {
-    let got = ask("HTTP/1.1 200 OK\r\n\r\nhalf of the te").await;
+    let got = fetch("HTTP/1.1 200 OK\r\n\r\nhalf of the te").await;
 
     assert!(matches!(got, Err(client::Error::Lost(_))), "{got:?}");
 }
 
 #[tokio::test]
-async fn told_ends() {
-    let by_length = ask("HTTP/1.1 200 OK\r\ncontent-length: 3\r\n\r\nabc").await;
+async fn explicit_end() {
+    let by_length = fetch("HTTP/1.1 200 OK\r\ncontent-length: 3\r\n\r\nabc").await;
     let by_chunks = "HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n";
-    let by_chunks = ask(by_chunks).await;
-    let without_body = ask("HTTP/1.1 204 No Content\r\n\r\n").await;
+    let by_chunks = fetch(by_chunks).await;
+    let without_body = fetch("HTTP/1.1 204 No Content\r\n\r\n").await;
 
     assert_eq!(by_length.expect("it is whole"), "abc");
     assert_eq!(by_chunks.expect("it is whole"), "abc");
@@ -64,10 +64,10 @@
 }
 
 #[tokio::test]
-async fn cut_before_end() {
-    let by_length = ask("HTTP/1.1 200 OK\r\ncontent-length: 9\r\n\r\nabc").await;
+async fn truncated_before_end() {
+    let by_length = fetch("HTTP/1.1 200 OK\r\ncontent-length: 9\r\n\r\nabc").await;
     let by_chunks = "HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n3\r\nabc\r\n";
-    let by_chunks = ask(by_chunks).await;
+    let by_chunks = fetch(by_chunks).await;
 
     assert!(
         matches!(by_length, Err(client::Error::Lost(_))),
