--- a/crates/stair-link/src/dialer.rs
+++ b/crates/stair-link/src/dialer.rs
@@ -36,7 +36,7 @@
 /// The part of the time to connect that goes to the present port, in percent. A handshake takes
 /// one round trip, some ten milliseconds between data centres; 300 ms of 750 are enough for a
 /// busy VM, and the transport sends a lost first packet again only after a second.
-const FIRST_PERCENT: u32 = 40;
+const FIRST_ATTEMPT_PERCENT: u32 = 40;
 
 /// Opens links. Cloning shares the local ports.
 ///
@@ -83,7 +83,7 @@
 
     /// Opens a link and probes it while it is in use, as `probing` says.
     ///
-    /// When nothing answers for [`FIRST_PERCENT`] of the time, the path from the present port may
+    /// When nothing answers for [`FIRST_ATTEMPT_PERCENT`] of the time, the path from the present port may
     /// be the silent one, or the first packet was lost. The rest of the time goes to an attempt
     /// from a new port. So silence of an old path costs a part of one attempt, and an address that
     /// answers from neither port is dead.
@@ -93,14 +93,14 @@
     /// [`Error::Connect`] when the other end does not answer in time, is no process of the
     /// deployment, or speaks other messages.
     pub async fn connect(&self, addr: SocketAddr, probing: Probing) -> Result<Link, Error> {
-        let first_time = self.inner.connect_timeout * FIRST_PERCENT / 100;
+        let first_timeout = self.inner.connect_timeout * FIRST_ATTEMPT_PERCENT / 100;
         let (endpoint, generation) = self.endpoint(addr)?;
-        if let Some(conn) = self.attempt(&endpoint, addr, first_time).await? {
+        if let Some(conn) = self.attempt(&endpoint, addr, first_timeout).await? {
             return Ok(Link::dialed(conn, self.clone(), generation, probing));
         }
         self.rotate(generation);
         let (endpoint, generation) = self.endpoint(addr)?;
-        let rest = self.inner.connect_timeout - first_time;
+        let rest = self.inner.connect_timeout - first_timeout;
         match self.attempt(&endpoint, addr, rest).await? {
             Some(conn) => Ok(Link::dialed(conn, self.clone(), generation, probing)),
             None => Err(Error::Connect {
--- a/crates/stair-link/src/keys.rs
+++ b/crates/stair-link/src/keys.rs
@@ -41,15 +41,15 @@
 
 /// A link on which nothing was sent or received for so long closes itself. Links are opened on
 /// demand; those of rarely used models would pile up otherwise.
-const IDLE_CLOSE: Duration = Duration::from_secs(15);
+const IDLE_TIMEOUT: Duration = Duration::from_secs(15);
 
 /// Streams that the end which opened a link may have open at once, at first. The transport sets
 /// memory aside for each of them, about 85 bytes, whether it is used or not; an entry has many links
 /// with one or two streams. See [`Link::allow_streams`](crate::Link::allow_streams).
-pub(crate) const FIRST_STREAMS: u32 = 64;
+pub(crate) const INITIAL_STREAMS: u32 = 64;
 
 /// Streams that the end which accepted a link may open: none does.
-const BACKWARD_STREAMS: u32 = 0;
+const ACCEPTOR_STREAMS: u32 = 0;
 
 /// Bytes of one stream that may be under way unread, so that one slow reader of a long answer
 /// does not fill the memory of either end.
@@ -113,7 +113,7 @@
         tls.alpn_protocols = vec![PROTOCOL.as_bytes().to_vec()];
         let quic = QuicServerConfig::try_from(tls).map_err(|e| bad(&e))?;
         let mut cfg = ServerConfig::with_crypto(Arc::new(quic));
-        cfg.transport_config(Arc::new(transport(FIRST_STREAMS)));
+        cfg.transport_config(Arc::new(transport(INITIAL_STREAMS)));
         Ok(cfg)
     }
 
@@ -130,7 +130,7 @@
         tls.alpn_protocols = vec![PROTOCOL.as_bytes().to_vec()];
         let quic = QuicClientConfig::try_from(tls).map_err(|e| bad(&e))?;
         let mut cfg = ClientConfig::new(Arc::new(quic));
-        cfg.transport_config(Arc::new(transport(BACKWARD_STREAMS)));
+        cfg.transport_config(Arc::new(transport(ACCEPTOR_STREAMS)));
         Ok(cfg)
     }
 
@@ -145,7 +145,7 @@
 
 fn transport(streams: u32) -> TransportConfig {
     let mut cfg = TransportConfig::default();
-    cfg.max_idle_timeout(IdleTimeout::try_from(IDLE_CLOSE).ok())
+    cfg.max_idle_timeout(IdleTimeout::try_from(IDLE_TIMEOUT).ok())
         .max_concurrent_bidi_streams(VarInt::from_u32(streams))
         .max_concurrent_uni_streams(VarInt::from_u32(0))
         .stream_receive_window(VarInt::from_u32(STREAM_WINDOW))
--- a/crates/stair-link/src/link.rs
+++ b/crates/stair-link/src/link.rs
@@ -24,11 +24,11 @@
 use crate::{
     Dialer,
     Error,
-    keys::FIRST_STREAMS, //
+    keys::INITIAL_STREAMS, //
 };
 
-pub(crate) const LEAVING: VarInt = VarInt::from_u32(1);
-const SILENT: VarInt = VarInt::from_u32(2);
+pub(crate) const CODE_CLOSED: VarInt = VarInt::from_u32(1);
+const CODE_UNRESPONSIVE: VarInt = VarInt::from_u32(2);
 
 /// How a link is probed while it is in use.
 ///
@@ -70,7 +70,7 @@
     conn: Connection,
     in_use: watch::Sender<u32>,
     /// Streams that the other end may have open at once.
-    allowed: Arc<AtomicU32>,
+    stream_limit: Arc<AtomicU32>,
 }
 
 /// Marks a link as in use while it lives.
@@ -105,7 +105,7 @@
         Self {
             conn,
             in_use,
-            allowed: Arc::new(AtomicU32::new(FIRST_STREAMS)),
+            stream_limit: Arc::new(AtomicU32::new(INITIAL_STREAMS)),
         }
     }
 
@@ -139,7 +139,7 @@
     ///
     /// It waits for a stream of its own to end otherwise.
     pub fn allow_streams(&self, streams: u32) {
-        if streams > self.allowed.fetch_max(streams, Ordering::Relaxed) {
+        if streams > self.stream_limit.fetch_max(streams, Ordering::Relaxed) {
             let streams = VarInt::from_u32(streams);
             self.conn.set_max_concurrent_bi_streams(streams);
         }
@@ -157,7 +157,7 @@
 
     /// Closes the link; streams on it end with an error.
     pub fn close(&self) {
-        self.conn.close(LEAVING, b"closed");
+        self.conn.close(CODE_CLOSED, b"closed");
     }
 
     /// Returns the address of the other end.
@@ -216,7 +216,7 @@
         misses += 1;
         if misses >= probing.misses {
             dialer.rotate(generation);
-            conn.close(SILENT, b"silent");
+            conn.close(CODE_UNRESPONSIVE, b"silent");
             return;
         }
     }
--- a/crates/stair-link/src/listener.rs
+++ b/crates/stair-link/src/listener.rs
@@ -23,13 +23,13 @@
 };
 
 /// Links whose handshake is done and that nobody has taken yet.
-const ACCEPTED: usize = 64;
+const ACCEPT_QUEUE_DEPTH: usize = 64;
 
 /// A peer that stops in the middle of its handshake is forgotten after this time.
-const HANDSHAKE_TIME: Duration = Duration::from_secs(3);
+const HANDSHAKE_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// A lost close frame must not hold up the end of the process.
-const CLOSE_TIME: Duration = Duration::from_millis(500);
+const CLOSE_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// A bound UDP address on which other processes open links. Cloning shares it.
 #[derive(Clone)]
@@ -46,7 +46,7 @@
     /// Fails when the address is taken or the keys cannot be used.
     pub fn bind(addr: SocketAddr, keys: &Keys) -> Result<Self, Error> {
         let endpoint = socket::endpoint(addr, Some(keys.server_config()?))?;
-        let (tx, rx) = mpsc::channel(ACCEPTED);
+        let (tx, rx) = mpsc::channel(ACCEPT_QUEUE_DEPTH);
         tokio::spawn(accept_all(endpoint.clone(), tx));
         Ok(Self {
             endpoint,
@@ -74,8 +74,8 @@
     /// Tells the other ends that this process goes, and waits until they know or a short time has
     /// passed.
     pub async fn close(&self) {
-        self.endpoint.close(crate::link::LEAVING, b"leaving");
-        let _ = tokio::time::timeout(CLOSE_TIME, self.endpoint.wait_idle()).await;
+        self.endpoint.close(crate::link::CODE_CLOSED, b"leaving");
+        let _ = tokio::time::timeout(CLOSE_TIMEOUT, self.endpoint.wait_idle()).await;
     }
 }
 
@@ -91,7 +91,7 @@
     let Ok(connecting) = incoming.accept() else {
         return;
     };
-    if let Ok(Ok(conn)) = tokio::time::timeout(HANDSHAKE_TIME, connecting).await {
+    if let Ok(Ok(conn)) = tokio::time::timeout(HANDSHAKE_TIMEOUT, connecting).await {
         let _ = tx.send(Link::accepted(conn)).await;
     }
 }
--- a/crates/stair-link/src/pool.rs
+++ b/crates/stair-link/src/pool.rs
@@ -47,7 +47,7 @@
 type Outcome = Result<Link, Box<str>>;
 
 /// Slots without a live link are swept when this many have been added since the last sweep.
-const SWEEP_AT: usize = 256;
+const SWEEP_INTERVAL: usize = 256;
 
 impl Pool {
     /// Makes an empty pool.
@@ -70,7 +70,7 @@
     ///
     /// As [`Dialer::connect`].
     pub async fn get(&self, addr: SocketAddr) -> Result<Link, Error> {
-        let mut attempt = match self.state_of(addr) {
+        let mut attempt = match self.get_or_start(addr) {
             State::Open(link) => return Ok(link),
             State::Opening(attempt) => attempt,
         };
@@ -98,7 +98,7 @@
     /// Returns the live link or the attempt under way, beginning one if there is neither.
     ///
     /// The attempt has a task of its own: whoever began it may give up while others wait.
-    fn state_of(&self, addr: SocketAddr) -> State {
+    fn get_or_start(&self, addr: SocketAddr) -> State {
         let mut slots = self.slots();
         let at = slots.binary_search_by_key(&addr, |s| s.addr);
         if let Ok(i) = at
@@ -110,7 +110,7 @@
         let state = State::Opening(rx);
         match at {
             Ok(i) => slots[i].state = state.clone(),
-            Err(_) => add(&mut slots, addr, state.clone()),
+            Err(_) => insert(&mut slots, addr, state.clone()),
         }
         drop(slots);
         tokio::spawn(self.clone().open(addr, tx));
@@ -145,8 +145,8 @@
     }
 }
 
-fn add(slots: &mut Vec<Slot>, addr: SocketAddr, state: State) {
-    if slots.len() % SWEEP_AT == SWEEP_AT - 1 {
+fn insert(slots: &mut Vec<Slot>, addr: SocketAddr, state: State) {
+    if slots.len() % SWEEP_INTERVAL == SWEEP_INTERVAL - 1 {
         slots.retain(Slot::is_live);
     }
     let at = slots.partition_point(|s| s.addr < addr);
--- a/crates/stair-link/tests/open.rs
+++ b/crates/stair-link/tests/open.rs
@@ -17,7 +17,7 @@
     link::Probing, //
 };
 
-const CONNECT_TIME: Duration = Duration::from_secs(10);
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(10);
 
 fn any_port() -> SocketAddr {
     (Ipv4Addr::LOCALHOST, 0).into()
@@ -28,7 +28,7 @@
 }
 
 fn dialer(keys: &Keys) -> Dialer {
-    Dialer::new(keys, CONNECT_TIME).expect("the keys are good")
+    Dialer::new(keys, CONNECT_TIMEOUT).expect("the keys are good")
 }
 
 /// Answers every stream with the bytes that it carried.
@@ -91,7 +91,7 @@
 // certificate comes from another authority. It must get no stream: an operator would otherwise see
 // strangers' requests at the targets.
 #[tokio::test]
-async fn stranger_refused() {
+async fn foreign_certificate_refused() {
     let ours = Authority::generate().expect("keys can be made");
     let theirs = Authority::generate().expect("keys can be made");
     let listener = Listener::bind(any_port(), &issue(&ours)).expect("binds");
@@ -110,11 +110,11 @@
 // one after the other the last of them would wait for half a minute.
 #[tokio::test(start_paused = true)]
 async fn burst_shares_failure() {
-    const TIME: Duration = Duration::from_secs(1);
+    const SHORT_TIMEOUT: Duration = Duration::from_secs(1);
     let authority = Authority::generate().expect("keys can be made");
     let dead = std::net::UdpSocket::bind(any_port()).expect("binds");
     let addr = dead.local_addr().expect("is bound");
-    let dialer = Dialer::new(&issue(&authority), TIME).expect("the keys are good");
+    let dialer = Dialer::new(&issue(&authority), SHORT_TIMEOUT).expect("the keys are good");
     let pool = Pool::new(dialer.clone(), Probing::REQUESTS);
     let began = tokio::time::Instant::now();
 
@@ -126,14 +126,18 @@
     let all = tasks.join_all().await;
 
     assert!(all.iter().all(Result::is_err), "a dead address answered");
-    assert!(began.elapsed() < TIME * 2, "took {:?}", began.elapsed());
+    assert!(
+        began.elapsed() < SHORT_TIMEOUT * 2,
+        "took {:?}",
+        began.elapsed()
+    );
     assert_eq!(dialer.replaced(), 1);
 }
 
 // The request that began an attempt is given up by its caller, while others wait for the same
 // link. They must get it all the same.
 #[tokio::test]
-async fn first_gives_up() {
+async fn first_waiter_cancelled() {
     let authority = Authority::generate().expect("keys can be made");
     let listener = Listener::bind(any_port(), &issue(&authority)).expect("binds");
     let addr = listener.addr().expect("is bound");
