--- a/crates/stair-http/src/body.rs
+++ b/crates/stair-http/src/body.rs
@@ -1,4 +1,4 @@
-//! Bodies made of channels, and bounded reading.
+//! Channel-fed bodies, and reading with limits on size and time.
 
 use std::{
     io,
@@ -28,18 +28,18 @@
 /// The body of every response that this crate serves.
 pub type Body = UnsyncBoxBody<Bytes, io::Error>;
 
-/// Makes a body of bytes that are at hand.
+/// Returns a body that consists of `bytes`.
 pub fn full(bytes: impl Into<Bytes>) -> Body {
     Full::new(bytes.into())
         .map_err(|never| match never {})
         .boxed_unsync()
 }
 
-/// Makes a body that is fed through a channel.
+/// Returns a body and the sender that feeds it; `depth` is the channel's capacity in chunks.
 ///
-/// The body is complete when the sender sends `None`. A sender that is dropped before, or sends an
-/// error, ends the body with an error: the connection is closed without the closing chunk, so a
-/// cut answer never looks complete to the caller.
+/// The body is complete when the sender sends `None`. When the sender is dropped before, the body
+/// ends with an error: the connection is closed without the final chunk, so a truncated response
+/// never looks complete to the client.
 pub fn channel(depth: usize) -> (mpsc::Sender<Option<Bytes>>, Body) {
     let (tx, rx) = mpsc::channel(depth);
     let body = ChannelBody { rx, done: false };
@@ -71,7 +71,7 @@
             }
             Poll::Ready(None) => {
                 self.done = true;
-                Poll::Ready(Some(Err(io::Error::other("the answer was cut"))))
+                Poll::Ready(Some(Err(io::Error::other("the response was truncated"))))
             }
         }
     }
@@ -81,13 +81,13 @@
     }
 }
 
-/// Why a body could not be read whole.
+/// The reason why a body could not be read completely.
 #[derive(Debug, thiserror::Error)]
 pub enum ReadError {
-    /// It has more bytes than the limit.
+    /// The body has more bytes than the limit.
     #[error("the body exceeds {0} bytes")]
     TooLarge(usize),
-    /// It did not arrive in time.
+    /// The body did not arrive within the time limit.
     #[error("the body did not arrive within {0:?}")]
     TooSlow(Duration),
     /// The connection failed.
@@ -95,8 +95,9 @@
     Broken(#[from] hyper::Error),
 }
 
-/// Reads a whole body of at most `limit` bytes within `time`, so that a slow or endless sender
-/// holds neither memory nor a connection.
+/// Reads a complete body of at most `limit` bytes within `time`.
+///
+/// The two limits keep a slow or endless sender from occupying memory and a connection.
 ///
 /// # Errors
 ///
@@ -112,7 +113,7 @@
             if first.len() + rest.len() + data.len() > limit {
                 return Err(ReadError::TooLarge(limit));
             }
-            // The usual body is one frame, and is not copied.
+            // Most bodies are a single frame, which is returned without a copy.
             if first.is_empty() && rest.is_empty() {
                 first = data;
             } else {
--- a/crates/stair-http/src/client.rs
+++ b/crates/stair-http/src/client.rs
@@ -1,14 +1,15 @@
 //! A pool of HTTP/1.1 connections to one address.
 //!
-//! A connection goes back to the pool only when an answer's last byte was read. One on which a
-//! request timed out, failed or was given up is closed: its late answer must not reach the next
-//! request. An error says whether the request may have reached the other end.
+//! A connection returns to the pool only after the last byte of a response was read. A connection
+//! on which a request timed out, failed or was cancelled is closed, because its late response must
+//! not reach the next request. An error states whether the server may have run the request.
 //!
-//! A pooled connection can have gone silent: something between the two ends has lost track of it,
-//! and neither end gets an error. A request sent on it is lost, and nobody knows whether it ran.
-//! So a connection is used again only shortly after its last answer, and otherwise a fresh one is
-//! opened, which shows that the path works before anything is sent. When one falls silent all
-//! pooled ones are closed, since what took it has probably taken them too.
+//! A pooled connection can be dead without an error at either end, for example because a device on
+//! the path dropped its connection-tracking entry. A request sent on it is lost, and the client
+//! cannot know whether it ran. An idle connection is therefore reused only for
+//! [`Options::idle_time`]. After that a new connection is opened, whose TCP handshake proves the
+//! path before a request is sent. When a response times out, all idle connections are closed,
+//! because the same fault has probably affected them too.
 
 use std::{
     net::SocketAddr,
@@ -48,14 +49,14 @@
     },
 };
 
-/// Bounds of a client.
+/// Limits of a client.
 #[derive(Debug, Clone, Copy)]
 pub struct Options {
-    /// Time to open a connection. A silent address is noticed by it.
+    /// Time limit for opening a connection; detects an address that does not respond.
     pub connect_timeout: Duration,
-    /// Idle connections kept.
+    /// Maximum number of idle connections in the pool.
     pub max_idle: usize,
-    /// Time for which an idle connection is used again.
+    /// Time after its last response for which an idle connection may be reused.
     pub idle_time: Duration,
 }
 
@@ -64,29 +65,29 @@
         Self {
             connect_timeout: Duration::from_secs(1),
             max_idle: 32,
-            // Under load connections are used again within milliseconds; with little load a
-            // handshake costs nothing that counts.
+            // Under load connections are reused within milliseconds; under low load the cost of
+            // a handshake is negligible.
             idle_time: Duration::from_millis(500),
         }
     }
 }
 
-/// Why a request got no answer.
+/// The reason why a request got no complete response.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
     /// The request was never sent.
     #[error("not sent: {0}")]
     NotSent(Box<str>),
-    /// The request was sent, and the connection failed or fell silent.
-    #[error("no answer: {0}")]
+    /// The request may have been sent, and the connection failed or the response timed out.
+    #[error("no response: {0}")]
     Lost(Box<str>),
-    /// The answer has more bytes than the limit.
-    #[error("the answer exceeds {0} bytes")]
+    /// The response has more bytes than the limit.
+    #[error("the response exceeds {0} bytes")]
     TooLarge(usize),
 }
 
 impl Error {
-    /// Tells whether the other end may have run the request.
+    /// Returns whether the server may have run the request.
     pub fn verdict(&self) -> Verdict {
         match self {
             Self::NotSent(_) => Verdict::NotRun,
@@ -95,7 +96,7 @@
     }
 }
 
-/// Connections to one address. Cloning shares the pool.
+/// A client for one address. Clones share the connection pool.
 #[derive(Clone)]
 pub struct Client {
     inner: Arc<Inner>,
@@ -104,7 +105,7 @@
 struct Inner {
     addr: SocketAddr,
     opts: Options,
-    /// The one that was used last comes last.
+    /// Ordered by `since`; the most recently used connection is the last.
     idle: Mutex<Vec<Idle>>,
 }
 
@@ -116,7 +117,7 @@
 type Connection = SendRequest<Full<Bytes>>;
 
 impl Client {
-    /// Makes a client; it opens no connection yet.
+    /// Returns a client without opening a connection.
     pub fn new(addr: SocketAddr, opts: Options) -> Self {
         Self {
             inner: Arc::new(Inner {
@@ -127,18 +128,20 @@
         }
     }
 
-    /// Returns the address.
+    /// Returns the address that the client connects to.
     pub fn addr(&self) -> SocketAddr {
         self.inner.addr
     }
 
-    /// Sends a request and waits at most `head_time` for the head of its answer.
+    /// Sends a request and returns the response once its head has arrived.
     ///
-    /// The request's URI is a path; the `Host` header is set here.
+    /// The request's URI must be a path; this method sets the `Host` header. `head_time` bounds
+    /// connecting, sending and the wait for the head together.
     ///
     /// # Errors
     ///
-    /// [`Error::NotSent`] when no byte of it was sent, [`Error::Lost`] afterwards.
+    /// [`Error::NotSent`] when no byte of the request was sent, [`Error::Lost`] when some may have
+    /// been sent, when `head_time` has passed, or when the response has no explicit end.
     pub async fn send(
         &self,
         mut req: Request<Full<Bytes>>,
@@ -149,21 +152,21 @@
             req.headers_mut().insert(hyper::header::HOST, host);
         }
         match timeout(head_time, self.send_on_idle_or_new(req)).await {
-            Ok(Ok(resp)) if !resp.has_end() => {
-                Err(Error::Lost("the answer does not say where it ends".into()))
-            }
+            Ok(Ok(resp)) if !resp.has_end() => Err(Error::Lost(
+                "the response has neither a content length nor chunked encoding".into(),
+            )),
             Ok(result) => result,
-            // Whether the request left before the time was up is unknown.
+            // The request may or may not have been sent before the timeout.
             Err(_) => {
                 self.close_idle();
-                Err(Error::Lost("no answer in time".into()))
+                Err(Error::Lost("no response head in time".into()))
             }
         }
     }
 
     async fn send_on_idle_or_new(&self, mut req: Request<Full<Bytes>>) -> Result<Answer, Error> {
-        // A pooled connection may have been closed by the other end meanwhile. Hyper hands the
-        // request back in that case only when it was not sent, so the next try is safe.
+        // The server may have closed an idle connection in the meantime. Hyper returns the request
+        // only if it was not sent, so sending it on another connection is safe.
         while let Some(mut conn) = self.take_idle() {
             match conn.try_send_request(req).await {
                 Ok(resp) => return Ok(self.response(conn, resp)),
@@ -204,7 +207,7 @@
         let mut idle = self.idle();
         while let Some(Idle { conn, since }) = idle.pop() {
             if since.elapsed() > idle_time {
-                // All others have been idle for even longer.
+                // All remaining connections have been idle for longer.
                 idle.clear();
                 return None;
             }
@@ -245,7 +248,7 @@
     }
 }
 
-/// An answer whose body is still to be read.
+/// A response whose head has arrived and whose body is read on demand.
 pub struct Answer {
     /// Status and headers.
     pub head: Parts,
@@ -255,11 +258,11 @@
 }
 
 impl Answer {
-    /// Reads the next piece of the body, or `None` at its end, waiting at most `time` for it.
+    /// Reads the next chunk of the body, or `None` at its end, and waits at most `time` for it.
     ///
     /// # Errors
     ///
-    /// [`Error::Lost`] when the body was cut or fell silent.
+    /// [`Error::Lost`] when the connection failed or no chunk arrived in time.
     pub async fn chunk(&mut self, time: Duration) -> Result<Option<Bytes>, Error> {
         loop {
             let frame = match timeout(time, self.body.frame()).await {
@@ -271,7 +274,7 @@
                 }
                 Err(_) => {
                     self.client.close_idle();
-                    return Err(Error::Lost("the answer fell silent".into()));
+                    return Err(Error::Lost("no more of the response in time".into()));
                 }
             };
             if let Ok(data) = frame.into_data() {
@@ -280,7 +283,7 @@
         }
     }
 
-    /// Reads the rest of the body, at most `limit` bytes, waiting at most `time` for each piece.
+    /// Reads the rest of the body, at most `limit` bytes, and waits at most `time` for each chunk.
     ///
     /// # Errors
     ///
@@ -296,8 +299,9 @@
         Ok(all.freeze())
     }
 
-    /// Tells whether a cut can be told from the end. An answer with neither a length nor chunks ends
-    /// with its connection, and so does one of which the rest was lost.
+    /// Returns whether a truncated body can be distinguished from a complete one. A response with
+    /// neither a content length nor chunked encoding ends when the connection closes, and so does a
+    /// truncated one.
     fn has_end(&self) -> bool {
         let headers = &self.head.headers;
         hyper::body::Body::is_end_stream(&self.body)
--- a/crates/stair-http/src/error.rs
+++ b/crates/stair-http/src/error.rs
@@ -1,4 +1,4 @@
-//! The API's error JSON, with verdict and time to come back.
+//! Error responses of the API: JSON with the verdict and the time after which to retry.
 
 use bytes::Bytes;
 use hyper::{
@@ -59,12 +59,12 @@
     }
 }
 
-/// Makes the response to a request that was given up on.
+/// Returns the response to a refused or failed request.
 pub fn response(refusal: &Refusal) -> Response<Body> {
     response_with_status(refusal, status(refusal))
 }
 
-/// Makes the response with a status of the caller's choice, such as 413.
+/// Returns the same response as [`response`] with another status, such as 413.
 pub fn response_with_status(refusal: &Refusal, status: StatusCode) -> Response<Body> {
     let mut resp = Response::new(full(json(refusal, status)));
     *resp.status_mut() = status;
@@ -75,7 +75,7 @@
         HeaderValue::from_static(refusal.verdict.as_str()),
     );
     if refusal.retry_after_ms > 0 {
-        // The header counts whole seconds; rounding down would bring callers back too early.
+        // The header holds whole seconds; rounding down would make clients retry too early.
         let seconds = refusal.retry_after_ms.div_ceil(1000);
         headers.insert(RETRY_AFTER, HeaderValue::from(seconds));
     }
--- a/crates/stair-http/src/lib.rs
+++ b/crates/stair-http/src/lib.rs
@@ -1,9 +1,10 @@
-//! HTTP on both sides by hyper, with the bounds that every part needs.
+//! HTTP/1.1 client and server on hyper, with limits on time, size and connections.
 //!
-//! - [`client`]: a pool of connections to one address that never reuses a doubtful connection.
-//! - [`server`]: a bounded listener with a graceful stop.
-//! - [`body`]: bodies made of channels, and bounded reading.
-//! - [`error`]: the API's error JSON, with verdict and time to come back.
+//! - [`client`]: a connection pool for one address; it never reuses a connection whose state is
+//!   unknown.
+//! - [`server`]: a listener with a connection limit and graceful shutdown.
+//! - [`body`]: channel-fed bodies, and reading with limits on size and time.
+//! - [`error`]: error responses of the API, with the verdict and the time after which to retry.
 #![deny(missing_docs)]
 #![forbid(unsafe_code)]
 
--- a/crates/stair-http/src/server.rs
+++ b/crates/stair-http/src/server.rs
@@ -1,4 +1,4 @@
-//! A bounded HTTP/1.1 listener with a graceful stop.
+//! An HTTP/1.1 listener with a connection limit and graceful shutdown.
 
 use std::{
     convert::Infallible,
@@ -32,14 +32,14 @@
 
 use crate::body::Body;
 
-/// Bounds of a listener.
+/// Limits of a listener.
 #[derive(Debug, Clone, Copy)]
 pub struct Options {
-    /// Connections open at once; more wait in the kernel's backlog.
+    /// Maximum number of open connections; further ones wait in the kernel's backlog.
     pub max_connections: usize,
-    /// Time for a request's head to arrive; a slower sender is cut.
+    /// Time limit for a request's head; the connection of a slower sender is closed.
     pub header_timeout: Duration,
-    /// Bytes of a request's head.
+    /// Maximum size of a request's head in bytes.
     pub max_head_bytes: usize,
 }
 
@@ -53,8 +53,8 @@
     }
 }
 
-/// Serves until `stop` turns true, then closes idle connections, lets the requests that are being
-/// served finish, and returns.
+/// Serves requests until `stop` becomes true, then closes idle connections, waits for the requests
+/// in progress, and returns.
 pub async fn serve<H, F>(
     listener: TcpListener,
     opts: Options,
@@ -89,7 +89,8 @@
     match listener.accept().await {
         Ok((stream, _)) => Some((stream, slot)),
         Err(_) => {
-            // Out of file descriptors, for instance: accepting again at once would spin.
+            // Without a pause, a persistent error such as exhausted file descriptors would cause a
+            // busy loop.
             tokio::time::sleep(Duration::from_millis(20)).await;
             None
         }
--- a/crates/stair-http/tests/end_of_response.rs
+++ b/crates/stair-http/tests/end_of_response.rs
@@ -1,4 +1,4 @@
-//! An answer whose end cannot be told from a cut is not taken for a whole one.
+//! Detection of truncated responses.
 
 use std::{
     net::SocketAddr,
@@ -21,7 +21,7 @@
 
 const LONG: Duration = Duration::from_secs(30);
 
-/// Answers one request with these bytes and closes the connection.
+/// Responds to one request with these bytes and closes the connection.
 async fn serve_once(response: &'static str) -> SocketAddr {
     let any_port: SocketAddr = ([127, 0, 0, 1], 0).into();
     let listener = TcpListener::bind(any_port).await.expect("a free port");
@@ -42,8 +42,9 @@
     client.send(req, LONG).await?.collect(1 << 20, LONG).await
 }
 
-// An old service ends its answers by closing the connection. When its VM dies in the middle of one
-// the connection closes, too, and the caller would take half of a document for all of it.
+// A service without content length or chunked encoding ends a response by closing the connection.
+// If its VM fails during a response the connection closes too, and the client would take a
+// truncated document for a complete one.
 #[tokio::test]
 async fn closed_connection() {
     let got = fetch("HTTP/1.1 200 OK\r\n\r\nhalf of the te").await;
