--- a/crates/stair-link/src/dialer.rs
+++ b/crates/stair-link/src/dialer.rs
@@ -1,4 +1,4 @@
-//! Opens links, from a new local port after one went silent.
+//! Opens links, and switches to a new local port after a link became unresponsive.
 
 use std::{
     net::{
@@ -33,18 +33,20 @@
     socket, //
 };
 
-/// The part of the time to connect that goes to the present port, in percent. A handshake takes
-/// one round trip, some ten milliseconds between data centres; 300 ms of 750 are enough for a
-/// busy VM, and the transport sends a lost first packet again only after a second.
+/// Share of the connect timeout for the attempt from the current port, in percent.
+///
+/// A handshake takes one round trip, some ten milliseconds between data centres. 300 ms of 750 are
+/// enough for a busy VM; waiting longer does not help after a lost first packet, because the
+/// transport retransmits it only after a second.
 const FIRST_ATTEMPT_PERCENT: u32 = 40;
 
-/// Opens links. Cloning shares the local ports.
+/// Opens links. Clones share the local ports.
 ///
-/// A path's entry in a connection-tracking table between two VMs can vanish: packets between the
-/// same two addresses and ports go nowhere for good, while others pass. A new QUIC connection from
-/// the same UDP socket has the same ports and stays silent too. So a link that went silent makes
-/// the dialer take a new socket for all links opened from then on; the old one ends with the last
-/// link on it.
+/// A connection-tracking table between two VMs can lose the entry of a path: packets between the
+/// same two addresses and ports are then dropped permanently, while others pass. A new QUIC
+/// connection from the same UDP socket uses the same ports and is dropped too. After a link became
+/// unresponsive the dialer therefore opens all later links from a new socket. The old socket is
+/// closed with the last link on it.
 #[derive(Clone)]
 pub struct Dialer {
     inner: Arc<Inner>,
@@ -65,11 +67,11 @@
 }
 
 impl Dialer {
-    /// Makes a dialer; it binds no port yet.
+    /// Returns a dialer without binding a port.
     ///
     /// # Errors
     ///
-    /// Fails when the keys cannot be used.
+    /// [`Error::Keys`] when the keys cannot be used.
     pub fn new(keys: &Keys, connect_timeout: Duration) -> Result<Self, Error> {
         Ok(Self {
             inner: Arc::new(Inner {
@@ -81,17 +83,17 @@
         })
     }
 
-    /// Opens a link and probes it while it is in use, as `probing` says.
+    /// Opens a link and probes it with the settings in `probing` while it is in use.
     ///
-    /// When nothing answers for [`FIRST_ATTEMPT_PERCENT`] of the time, the path from the present port may
-    /// be the silent one, or the first packet was lost. The rest of the time goes to an attempt
-    /// from a new port. So silence of an old path costs a part of one attempt, and an address that
-    /// answers from neither port is dead.
+    /// If the peer does not respond within [`FIRST_ATTEMPT_PERCENT`] of the timeout, the path from
+    /// the current port may be broken, or the first packet was lost. The remaining time is for a
+    /// second attempt from a new port. A broken path thus costs only a fraction of the timeout, and
+    /// an address that responds to neither attempt is unreachable.
     ///
     /// # Errors
     ///
-    /// [`Error::Connect`] when the other end does not answer in time, is no process of the
-    /// deployment, or speaks other messages.
+    /// [`Error::Connect`] when the peer does not respond in time, has no certificate of the
+    /// deployment, or uses another protocol version; [`Error::Io`] when no socket can be bound.
     pub async fn connect(&self, addr: SocketAddr, probing: Probing) -> Result<Link, Error> {
         let first_timeout = self.inner.connect_timeout * FIRST_ATTEMPT_PERCENT / 100;
         let (endpoint, generation) = self.endpoint(addr)?;
@@ -105,12 +107,12 @@
             Some(conn) => Ok(Link::dialed(conn, self.clone(), generation, probing)),
             None => Err(Error::Connect {
                 addr,
-                cause: "no answer in time".into(),
+                cause: "no response in time".into(),
             }),
         }
     }
 
-    /// Returns `None` when nothing answered in time.
+    /// Returns `None` when the peer did not respond in time.
     async fn attempt(
         &self,
         endpoint: &Endpoint,
@@ -128,12 +130,12 @@
         }
     }
 
-    /// Returns how often the local port was replaced.
+    /// Returns the number of times that the local port was replaced.
     pub fn replaced(&self) -> u64 {
         self.inner.replaced.load(Ordering::Relaxed)
     }
 
-    /// Makes later links come from a new port, unless that happened since `generation`.
+    /// Opens later links from a new port, unless the port was replaced since `generation`.
     pub(crate) fn rotate(&self, generation: u64) {
         let mut sockets = self.sockets();
         if sockets.generation != generation {
--- a/crates/stair-link/src/keys.rs
+++ b/crates/stair-link/src/keys.rs
@@ -1,7 +1,7 @@
-//! Certificates of an authority that all processes of a deployment trust.
+//! Certificates of the authority that all processes of a deployment trust.
 //!
-//! Whoever holds a certificate of the authority is a process of the deployment; names are not
-//! told apart, since VMs are replaced at any time and get new addresses.
+//! Every process with a certificate of the authority belongs to the deployment. All certificates
+//! carry the same name, because VMs are replaced at any time and get new addresses.
 
 use std::{
     path::Path,
@@ -39,26 +39,28 @@
 /// The name in every certificate of a deployment.
 pub(crate) const SERVER_NAME: &str = "dandelionstair";
 
-/// A link on which nothing was sent or received for so long closes itself. Links are opened on
-/// demand; those of rarely used models would pile up otherwise.
+/// Time without traffic after which a link closes. Links are opened on demand; without the timeout,
+/// links for rarely used models would accumulate.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(15);
 
-/// Streams that the end which opened a link may have open at once, at first. The transport sets
-/// memory aside for each of them, about 85 bytes, whether it is used or not; an entry has many links
-/// with one or two streams. See [`Link::allow_streams`](crate::Link::allow_streams).
+/// Initial limit of concurrent streams for the process that opened a link.
+///
+/// The transport reserves about 85 bytes for each allowed stream, used or not, and an entry has
+/// many links with one or two streams. [`Link::allow_streams`](crate::Link::allow_streams) raises
+/// the limit.
 pub(crate) const INITIAL_STREAMS: u32 = 64;
 
-/// Streams that the end which accepted a link may open: none does.
+/// Limit of streams for the process that accepted a link; it never opens one.
 const ACCEPTOR_STREAMS: u32 = 0;
 
-/// Bytes of one stream that may be under way unread, so that one slow reader of a long answer
-/// does not fill the memory of either end.
+/// Flow-control window of one stream in bytes. It keeps a slow reader of a long response from
+/// filling the memory of either process.
 const STREAM_WINDOW: u32 = 512 << 10;
 
-/// Bytes of one link that may be under way unread.
+/// Flow-control window of one link in bytes.
 const LINK_WINDOW: u32 = 16 << 20;
 
-/// The keys of one process.
+/// The authority's certificate, and the certificate and private key of one process.
 #[derive(Debug)]
 pub struct Keys {
     authority: CertificateDer<'static>,
@@ -77,11 +79,11 @@
 }
 
 impl Keys {
-    /// Reads PEM files.
+    /// Reads the keys from PEM files.
     ///
     /// # Errors
     ///
-    /// [`Error::Keys`] names the file that does not hold what it should.
+    /// [`Error::Keys`], with the path, when a file cannot be read or parsed.
     pub fn read(authority: &Path, certificate: &Path, key: &Path) -> Result<Self, Error> {
         let bad = |path: &Path, e: &dyn std::fmt::Display| {
             Error::Keys(format!("{}: {e}", path.display()).into())
@@ -154,7 +156,7 @@
     cfg
 }
 
-/// An authority made on the spot, for `dev` and tests.
+/// A certificate authority with a generated key, for `dev` and tests.
 pub struct Authority {
     issuer: Issuer<'static, KeyPair>,
     certificate: rcgen::Certificate,
@@ -172,11 +174,11 @@
 }
 
 impl Authority {
-    /// Makes a new authority.
+    /// Generates an authority with a new key.
     ///
     /// # Errors
     ///
-    /// [`Error::Keys`] when no key can be made.
+    /// [`Error::Keys`] when a key or certificate cannot be generated.
     pub fn generate() -> Result<Self, Error> {
         let mut params = CertificateParams::new(Vec::new()).map_err(|e| keys_error(&e))?;
         params.is_ca = IsCa::Ca(BasicConstraints::Unconstrained);
@@ -192,7 +194,7 @@
     ///
     /// # Errors
     ///
-    /// [`Error::Keys`] when no key can be made.
+    /// [`Error::Keys`] when a key or certificate cannot be generated.
     pub fn issue_pem(&self) -> Result<PemKeys, Error> {
         let names = vec![SERVER_NAME.to_owned()];
         let params = CertificateParams::new(names).map_err(|e| keys_error(&e))?;
@@ -211,7 +213,7 @@
     ///
     /// # Errors
     ///
-    /// [`Error::Keys`] when no key can be made.
+    /// [`Error::Keys`] when a key or certificate cannot be generated.
     pub fn issue(&self) -> Result<Keys, Error> {
         let pem = self.issue_pem()?;
         Ok(Keys {
--- a/crates/stair-link/src/lib.rs
+++ b/crates/stair-link/src/lib.rs
@@ -1,8 +1,8 @@
 //! Links between dandelionstair's own processes: QUIC with mutual TLS.
 //!
-//! - [`keys`]: certificates of an authority that all processes trust.
+//! - [`keys`]: certificates of the authority that all processes trust.
 //! - [`listener`]: accepts links.
-//! - [`dialer`]: opens links, and opens them from a new local port after one went silent.
+//! - [`dialer`]: opens links, and switches to a new local port after one became unresponsive.
 //! - [`link`](mod@link): one link, with probes while it is in use.
 //! - [`pool`]: links to many addresses, opened on demand and closed when idle.
 #![deny(missing_docs)]
@@ -25,10 +25,10 @@
     SendStream, //
 };
 
-/// Why a link or a stream on it failed.
+/// The reason why a link or a stream on it failed.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
-    /// The keys do not load or do not fit together.
+    /// The keys cannot be read, parsed or generated, or do not match each other.
     #[error("the keys cannot be used: {0}")]
     Keys(Box<str>),
     /// The local socket failed.
@@ -37,12 +37,12 @@
     /// The link could not be opened.
     #[error("no link to {addr}: {cause}")]
     Connect {
-        /// The address.
+        /// The address of the peer.
         addr: std::net::SocketAddr,
-        /// What the transport says.
+        /// The error text of the transport.
         cause: Box<str>,
     },
-    /// The link is closed or went silent.
+    /// The link was closed or became unresponsive.
     #[error("the link is closed: {0}")]
     Closed(#[from] quinn::ConnectionError),
 }
--- a/crates/stair-link/src/link.rs
+++ b/crates/stair-link/src/link.rs
@@ -27,53 +27,56 @@
     keys::INITIAL_STREAMS, //
 };
 
+/// Close code of a link that either process closed on purpose.
 pub(crate) const CODE_CLOSED: VarInt = VarInt::from_u32(1);
+
+/// Close code of a link whose probes were not acknowledged.
 const CODE_UNRESPONSIVE: VarInt = VarInt::from_u32(2);
 
-/// How a link is probed while it is in use.
+/// Settings for the probes of a link in use.
 ///
-/// A link that receives nothing for `misses` intervals, although each interval sent a probe that
-/// the other end has to acknowledge, is closed as silent. A link that is not in use is not probed:
-/// at 410 entries and 12,000 agents, probes on idle links alone would exceed the control budget.
+/// In each interval one probe is sent, which the peer has to acknowledge. A link that receives no
+/// packet for `misses` consecutive intervals is closed as unresponsive. Idle links are not probed:
+/// with 410 entries and 12,000 agents their probes alone would exceed the control budget.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Probing {
     /// Time between probes.
     pub interval: Duration,
-    /// Intervals without a packet after which the link is given up.
+    /// Consecutive intervals without a received packet after which the link is closed.
     pub misses: u32,
 }
 
 impl Probing {
-    /// For links that carry requests: silence is noticed within 1.2 s, as the first of the
-    /// intervals may have begun with a packet. That leaves time to resume on a new link within 2 s,
-    /// of which an attempt may take 0.75. Shorter would take a busy or briefly paused VM for a
-    /// silent link.
+    /// For links that carry requests. An unresponsive link is detected within 1.2 s, since a packet
+    /// may still arrive early in the first interval. That leaves time to resume on a new link
+    /// within 2 s, of which a connection attempt may take 0.75 s. With a shorter time, the link of
+    /// a busy or briefly paused VM would be closed.
     pub const REQUESTS: Self = Self {
         interval: Duration::from_millis(200),
         misses: 5,
     };
 
-    /// For the control links of agents: silence is noticed within 5 s, as the first of the
-    /// intervals may have begun with a packet. A configuration change has 8 s to be in force and
-    /// comes over the agent's other link meanwhile, unless that is silent too. 60 links an entry
-    /// cost about 4 KB a second at this interval, and a shorter one would exceed the 7 KB that an
-    /// entry may spend; a link that is given up too early costs a handshake.
+    /// For the control links of agents. An unresponsive link is detected within 5 s, since a packet
+    /// may still arrive early in the first interval. A configuration change must be in force within
+    /// 8 s and meanwhile arrives over the agent's other link, unless that is unresponsive too. At
+    /// this interval 60 links per entry cost about 4 KB/s; a shorter one would exceed the 7 KB/s
+    /// that an entry may spend. A link that is closed too early costs a handshake.
     pub const CONTROL: Self = Self {
         interval: Duration::from_millis(1_660),
         misses: 2,
     };
 }
 
-/// A link to another process. Cloning shares it.
+/// A link to another process. Clones share the connection.
 #[derive(Clone)]
 pub struct Link {
     conn: Connection,
     in_use: watch::Sender<u32>,
-    /// Streams that the other end may have open at once.
+    /// Maximum number of concurrent streams that the peer may open.
     stream_limit: Arc<AtomicU32>,
 }
 
-/// Marks a link as in use while it lives.
+/// Guard that marks a link as in use until it is dropped.
 pub struct InUse {
     in_use: watch::Sender<u32>,
 }
@@ -109,7 +112,7 @@
         }
     }
 
-    /// Marks the link as in use until the mark is dropped.
+    /// Marks the link as in use until the returned guard is dropped.
     pub fn use_it(&self) -> InUse {
         self.in_use.send_modify(|n| *n += 1);
         InUse {
@@ -126,7 +129,7 @@
         Ok(self.conn.open_bi().await?)
     }
 
-    /// Waits for the other end to open a bidirectional stream.
+    /// Waits for the peer to open a bidirectional stream.
     ///
     /// # Errors
     ///
@@ -135,9 +138,9 @@
         Ok(self.conn.accept_bi().await?)
     }
 
-    /// Lets the other end have so many streams open at once, if that is more than it may have now.
+    /// Raises the limit of concurrent streams of the peer to `streams`; never lowers it.
     ///
-    /// It waits for a stream of its own to end otherwise.
+    /// A peer at its limit has to wait until one of its streams ends.
     pub fn allow_streams(&self, streams: u32) {
         if streams > self.stream_limit.fetch_max(streams, Ordering::Relaxed) {
             let streams = VarInt::from_u32(streams);
@@ -145,12 +148,12 @@
         }
     }
 
-    /// Waits until the link is closed by either end or went silent.
+    /// Waits until either process closed the link or it became unresponsive.
     pub async fn closed(&self) {
         self.conn.closed().await;
     }
 
-    /// Tells whether the link is closed.
+    /// Returns whether the link is closed.
     pub fn is_closed(&self) -> bool {
         self.conn.close_reason().is_some()
     }
@@ -160,7 +163,7 @@
         self.conn.close(CODE_CLOSED, b"closed");
     }
 
-    /// Returns the address of the other end.
+    /// Returns the address of the peer.
     pub fn peer(&self) -> SocketAddr {
         self.conn.remote_address()
     }
@@ -175,18 +178,20 @@
     }
 }
 
-/// Bytes of a link, as UDP payload.
+/// Traffic of a link in bytes of UDP payload.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Bytecount {
-    /// Sent.
+    /// Bytes sent.
     pub sent: u64,
-    /// Received.
+    /// Bytes received.
     pub received: u64,
 }
 
-/// An open connection can go silent for good because something between the two ends has lost
-/// track of it. Neither end gets an error. It shows only as the lack of acknowledgements of what
-/// was sent, so while the link is in use something is sent that has to be acknowledged.
+/// Probes a link while it is in use, and closes it when it is unresponsive.
+///
+/// A connection can stop passing packets permanently when a device on the path loses its
+/// connection-tracking entry. Neither process gets an error; the only sign is that acknowledgements
+/// are missing. Each probe is therefore a datagram that the peer has to acknowledge.
 async fn probe(
     conn: Connection,
     mut in_use: watch::Receiver<u32>,
--- a/crates/stair-link/src/listener.rs
+++ b/crates/stair-link/src/listener.rs
@@ -22,16 +22,16 @@
     socket, //
 };
 
-/// Links whose handshake is done and that nobody has taken yet.
+/// Maximum number of links that wait for [`Listener::accept`] after their handshake.
 const ACCEPT_QUEUE_DEPTH: usize = 64;
 
-/// A peer that stops in the middle of its handshake is forgotten after this time.
+/// Time limit for a handshake, after which the connection is dropped.
 const HANDSHAKE_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// A lost close frame must not hold up the end of the process.
+/// Limit of the wait in [`Listener::close`]. A lost close frame must not delay the process exit.
 const CLOSE_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// A bound UDP address on which other processes open links. Cloning shares it.
+/// A bound UDP address that accepts links from other processes. Clones share it.
 #[derive(Clone)]
 pub struct Listener {
     endpoint: Endpoint,
@@ -39,11 +39,12 @@
 }
 
 impl Listener {
-    /// Binds an address; port 0 lets the system choose.
+    /// Binds an address; with port 0 the system chooses a free port.
     ///
     /// # Errors
     ///
-    /// Fails when the address is taken or the keys cannot be used.
+    /// [`Error::Io`] when the address cannot be bound, [`Error::Keys`] when the keys cannot be
+    /// used.
     pub fn bind(addr: SocketAddr, keys: &Keys) -> Result<Self, Error> {
         let endpoint = socket::endpoint(addr, Some(keys.server_config()?))?;
         let (tx, rx) = mpsc::channel(ACCEPT_QUEUE_DEPTH);
@@ -58,21 +59,21 @@
     ///
     /// # Errors
     ///
-    /// Fails when the socket is gone.
+    /// [`Error::Io`] when the socket cannot report its address.
     pub fn addr(&self) -> Result<SocketAddr, Error> {
         Ok(self.endpoint.local_addr()?)
     }
 
     /// Waits for the next link whose handshake succeeded; `None` once the listener is closed.
     ///
-    /// A peer without a certificate of the authority, or with other messages, fails the handshake
-    /// and is passed over.
+    /// A peer without a certificate of the authority, or with another protocol version, fails the
+    /// handshake and is skipped.
     pub async fn accept(&self) -> Option<Link> {
         self.links.lock().await.recv().await
     }
 
-    /// Tells the other ends that this process goes, and waits until they know or a short time has
-    /// passed.
+    /// Closes all links with a message to the peers, and waits a short time for the connections to
+    /// end.
     pub async fn close(&self) {
         self.endpoint.close(crate::link::CODE_CLOSED, b"leaving");
         let _ = tokio::time::timeout(CLOSE_TIMEOUT, self.endpoint.wait_idle()).await;
@@ -85,8 +86,8 @@
     }
 }
 
-/// Each handshake has a task of its own, so that a peer that stops in the middle of one holds up
-/// no other.
+/// Completes one handshake. Each runs in its own task, so that a peer that stops responding during
+/// its handshake does not delay others.
 async fn handshake(incoming: Incoming, tx: mpsc::Sender<Link>) {
     let Ok(connecting) = incoming.accept() else {
         return;
--- a/crates/stair-link/src/pool.rs
+++ b/crates/stair-link/src/pool.rs
@@ -1,7 +1,7 @@
 //! Links to many addresses, opened on demand and closed when idle.
 //!
-//! One link serves all requests to an address. Several requests that find none at the same time
-//! share one attempt and its outcome, so a burst does not open a link each.
+//! One link serves all requests to an address. Concurrent requests to an address without a link
+//! share one connection attempt and its result, so a burst opens a single link.
 
 use std::{
     net::SocketAddr,
@@ -22,7 +22,7 @@
     link::Probing, //
 };
 
-/// Links by address. Cloning shares them.
+/// Links by address. Clones share them.
 #[derive(Clone)]
 pub struct Pool {
     dialer: Dialer,
@@ -39,18 +39,19 @@
 #[derive(Clone)]
 enum State {
     Open(Link),
-    /// An attempt is under way; its outcome comes here.
+    /// An attempt is in progress; the channel receives its result.
     Opening(watch::Receiver<Option<Outcome>>),
 }
 
-/// What everybody who waits for an attempt is told.
+/// The result of an attempt, shared by all its waiters.
 type Outcome = Result<Link, Box<str>>;
 
-/// Slots without a live link are swept when this many have been added since the last sweep.
+/// Slots without a live link are removed before an insertion that would bring the number of
+/// slots to a multiple of this.
 const SWEEP_INTERVAL: usize = 256;
 
 impl Pool {
-    /// Makes an empty pool.
+    /// Returns an empty pool.
     pub fn new(dialer: Dialer, probing: Probing) -> Self {
         Self {
             dialer,
@@ -61,10 +62,10 @@
 
     /// Returns the live link to an address, opening it if there is none.
     ///
-    /// A dead address answers nothing, and each attempt takes the whole time to connect. If those
-    /// that wait made attempts of their own one after the other, a burst of requests would be
-    /// held for as many times that time; so they share the failure of the attempt they wait for,
-    /// and all go elsewhere at once.
+    /// An attempt to reach an unresponsive address takes the full connect timeout. If all waiters
+    /// made their own attempts one after the other, the last request of a burst would wait for a
+    /// multiple of the timeout. All waiters of an attempt therefore share its failure, and can try
+    /// another address at once.
     ///
     /// # Errors
     ///
@@ -77,11 +78,11 @@
         let failed = |cause| Error::Connect { addr, cause };
         let outcome = match attempt.wait_for(Option::is_some).await {
             Ok(outcome) => outcome.clone(),
-            // The runtime of the attempt ends.
+            // The runtime of the attempt is shutting down.
             Err(_) => None,
         };
         outcome
-            .unwrap_or_else(|| Err("the attempt ended".into()))
+            .unwrap_or_else(|| Err("the connection attempt was aborted".into()))
             .map_err(failed)
     }
 
@@ -90,14 +91,15 @@
         self.slots().iter().filter(|s| s.is_live()).count()
     }
 
-    /// Returns the dialer.
+    /// Returns the dialer that opens the links.
     pub fn dialer(&self) -> &Dialer {
         &self.dialer
     }
 
-    /// Returns the live link or the attempt under way, beginning one if there is neither.
+    /// Returns the live link or the attempt in progress, and starts an attempt if there is neither.
     ///
-    /// The attempt has a task of its own: whoever began it may give up while others wait.
+    /// The attempt runs in its own task, because the request that started it may be cancelled while
+    /// others wait.
     fn get_or_start(&self, addr: SocketAddr) -> State {
         let mut slots = self.slots();
         let at = slots.binary_search_by_key(&addr, |s| s.addr);
@@ -139,7 +141,7 @@
     fn is_live(&self) -> bool {
         match &self.state {
             State::Open(link) => !link.is_closed(),
-            // An attempt that ended without a word was cut off with its runtime.
+            // A closed channel without a result means that the runtime aborted the attempt.
             State::Opening(attempt) => attempt.has_changed().is_ok(),
         }
     }
--- a/crates/stair-link/src/socket.rs
+++ b/crates/stair-link/src/socket.rs
@@ -17,15 +17,16 @@
 };
 use socket2::SockRef;
 
-/// Bytes of datagrams that the kernel holds for a socket.
+/// Size of the kernel's send and receive buffers of a socket in bytes, for some thousand datagrams.
 ///
-/// The kernel's default holds about a hundred datagrams. When the process does not get a core for
-/// some milliseconds, more arrive and are lost; QUIC takes that for congestion, sends less, and
-/// requests take seconds. This is some thousand datagrams. The system's own limit may be lower
-/// (`net.core.rmem_max`); the kernel takes that then.
+/// The kernel's default holds about a hundred datagrams. When the process is not scheduled for some
+/// milliseconds, more arrive and are dropped. QUIC treats the loss as congestion and reduces its
+/// rate, and requests take seconds. If the system's limit (`net.core.rmem_max`) is lower, the
+/// kernel uses that limit.
 const BUFFER_BYTES: usize = 4 << 20;
 
-/// Binds a socket and makes the endpoint on it; without a server configuration it takes no links.
+/// Binds a socket and returns an endpoint on it, which accepts links only with a `server`
+/// configuration.
 pub(crate) fn endpoint(addr: SocketAddr, server: Option<ServerConfig>) -> io::Result<Endpoint> {
     let socket = UdpSocket::bind(addr)?;
     let options = SockRef::from(&socket);
--- a/crates/stair-link/tests/open.rs
+++ b/crates/stair-link/tests/open.rs
@@ -31,7 +31,7 @@
     Dialer::new(keys, CONNECT_TIMEOUT).expect("the keys are good")
 }
 
-/// Answers every stream with the bytes that it carried.
+/// Sends the bytes of every stream back to the peer.
 async fn echo(listener: Listener) {
     while let Some(link) = listener.accept().await {
         tokio::spawn(async move {
@@ -87,9 +87,8 @@
     assert!(accepted.try_recv().is_err(), "a second link was opened");
 }
 
-// A process of another deployment, or anything else on the network, dials a link address. Its
-// certificate comes from another authority. It must get no stream: an operator would otherwise see
-// strangers' requests at the targets.
+// A process of another deployment connects to a link address with a certificate of another
+// authority. If it could open a link, its requests would reach the targets.
 #[tokio::test]
 async fn foreign_certificate_refused() {
     let ours = Authority::generate().expect("keys can be made");
@@ -102,12 +101,15 @@
         .connect(addr, Probing::REQUESTS)
         .await;
 
-    assert!(result.is_err(), "a stranger opened a link");
+    assert!(
+        result.is_err(),
+        "a peer with a foreign certificate opened a link"
+    );
 }
 
-// A target's VM is gone and its address swallows everything. A burst of requests for it meets
-// there. Callers must all be told, or sent elsewhere, after the time of one attempt; with attempts
-// one after the other the last of them would wait for half a minute.
+// A target's VM was removed, and packets to its address are dropped. A burst of requests to the
+// target must fail after one connect timeout; with an attempt per request, one after the other, the
+// last of the 30 would wait for half a minute.
 #[tokio::test(start_paused = true)]
 async fn burst_shares_failure() {
     const SHORT_TIMEOUT: Duration = Duration::from_secs(1);
@@ -125,7 +127,10 @@
     }
     let all = tasks.join_all().await;
 
-    assert!(all.iter().all(Result::is_err), "a dead address answered");
+    assert!(
+        all.iter().all(Result::is_err),
+        "an unresponsive address responded"
+    );
     assert!(
         began.elapsed() < SHORT_TIMEOUT * 2,
         "took {:?}",
@@ -134,8 +139,8 @@
     assert_eq!(dialer.replaced(), 1);
 }
 
-// The request that began an attempt is given up by its caller, while others wait for the same
-// link. They must get it all the same.
+// The request that started a connection attempt is cancelled while others wait for the same link.
+// The others must still get the link.
 #[tokio::test]
 async fn first_waiter_cancelled() {
     let authority = Authority::generate().expect("keys can be made");
