--- a/crates/stair-link/tests/open.rs
+++ b/crates/stair-link/tests/open.rs
@@ -87,8 +87,9 @@
     assert!(accepted.try_recv().is_err(), "a second link was opened");
 }
 
-// A process of another deployment connects to a link address with a certificate of another
-// authority. If it could open a link, its requests would reach the targets.
+// A process of another deployment, or any other process on the network, connects to a link address
+// with a certificate of another authority. If it could open a link, its requests would reach the
+// targets.
 #[tokio::test]
 async fn foreign_certificate_refused() {
     let ours = Authority::generate().expect("keys can be made");
