--- a/crates/stair-http/src/body.rs
+++ b/crates/stair-http/src/body.rs
@@ -71,7 +71,7 @@
             }
             Poll::Ready(None) => {
                 self.done = true;
-                Poll::Ready(Some(Err(io::Error::other("the response was truncated"))))
+                Poll::Ready(Some(Err(io::Error::other("the answer was cut"))))
             }
         }
     }
--- a/crates/stair-http/src/client.rs
+++ b/crates/stair-http/src/client.rs
@@ -79,10 +79,10 @@
     #[error("not sent: {0}")]
     NotSent(Box<str>),
     /// The request may have been sent, and the connection failed or the response timed out.
-    #[error("no response: {0}")]
+    #[error("no answer: {0}")]
     Lost(Box<str>),
     /// The response has more bytes than the limit.
-    #[error("the response exceeds {0} bytes")]
+    #[error("the answer exceeds {0} bytes")]
     TooLarge(usize),
 }
 
@@ -152,14 +152,14 @@
             req.headers_mut().insert(hyper::header::HOST, host);
         }
         match timeout(head_time, self.send_on_idle_or_new(req)).await {
-            Ok(Ok(resp)) if !resp.has_end() => Err(Error::Lost(
-                "the response has neither a content length nor chunked encoding".into(),
-            )),
+            Ok(Ok(resp)) if !resp.has_end() => {
+                Err(Error::Lost("the answer does not say where it ends".into()))
+            }
             Ok(result) => result,
             // The request may or may not have been sent before the timeout.
             Err(_) => {
                 self.close_idle();
-                Err(Error::Lost("no response head in time".into()))
+                Err(Error::Lost("no answer in time".into()))
             }
         }
     }
@@ -274,7 +274,7 @@
                 }
                 Err(_) => {
                     self.client.close_idle();
-                    return Err(Error::Lost("no more of the response in time".into()));
+                    return Err(Error::Lost("the answer fell silent".into()));
                 }
             };
             if let Ok(data) = frame.into_data() {
