--- a/crates/stair-link/src/keys.rs
+++ b/crates/stair-link/src/keys.rs
@@ -1,7 +1,7 @@
-//! Certificates of an authority that all processes of a deployment trust.
+//! Certificates of the authority that all processes of a deployment trust.
 //!
-//! Whoever holds a certificate of the authority is a process of the deployment; names are not
-//! told apart, since VMs are replaced at any time and get new addresses.
+//! Every process with a certificate of the authority belongs to the deployment. All certificates
+//! carry the same name, because VMs are replaced at any time and get new addresses.
 
 use std::{
     path::Path,
@@ -39,26 +39,28 @@
 /// The name in every certificate of a deployment.
 pub(crate) const SERVER_NAME: &str = "dandelionstair";
 
-/// A link on which nothing was sent or received for so long closes itself. Links are opened on
-/// demand; those of rarely used models would pile up otherwise.
-const IDLE_CLOSE: Duration = Duration::from_secs(15);
+/// Time without traffic after which a link closes. Links are opened on demand; without the timeout,
+/// links for rarely used models would accumulate.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(15);
 
-/// Streams that the end which opened a link may have open at once, at first. The transport sets
-/// memory aside for each of them, about 85 bytes, whether it is used or not; an entry has many links
-/// with one or two streams. See [`Link::allow_streams`](crate::Link::allow_streams).
-pub(crate) const FIRST_STREAMS: u32 = 64;
+/// Initial limit of concurrent streams for the process that opened a link.
+///
+/// The transport reserves about 85 bytes for each allowed stream, used or not, and an entry has
+/// many links with one or two streams. [`Link::allow_streams`](crate::Link::allow_streams) raises
+/// the limit.
+pub(crate) const INITIAL_STREAMS: u32 = 64;
 
-/// Streams that the end which accepted a link may open: none does.
-const BACKWARD_STREAMS: u32 = 0;
+/// Limit of streams for the process that accepted a link; it never opens one.
+const ACCEPTOR_STREAMS: u32 = 0;
 
-/// Bytes of one stream that may be under way unread, so that one slow reader of a long answer
-/// does not fill the memory of either end.
+/// Flow-control window of one stream in bytes. It keeps a slow reader of a long response from
+/// filling the memory of either process.
 const STREAM_WINDOW: u32 = 512 << 10;
 
-/// Bytes of one link that may be under way unread.
+/// Flow-control window of one link in bytes.
 const LINK_WINDOW: u32 = 16 << 20;
 
-/// The keys of one process.
+/// The authority's certificate, and the certificate and private key of one process.
 #[derive(Debug)]
 pub struct Keys {
     authority: CertificateDer<'static>,
@@ -77,11 +79,11 @@
 }
 
 impl Keys {
-    /// Reads PEM files.
+    /// Reads the keys from PEM files.
     ///
     /// # Errors
     ///
-    /// [`Error::Keys`] names the file that does not hold what it should.
+    /// [`Error::Keys`], with the path, when a file cannot be read or parsed.
     pub fn read(authority: &Path, certificate: &Path, key: &Path) -> Result<Self, Error> {
         let bad = |path: &Path, e: &dyn std::fmt::Display| {
             Error::Keys(format!("{}: {e}", path.display()).into())
@@ -113,7 +115,7 @@
         tls.alpn_protocols = vec![PROTOCOL.as_bytes().to_vec()];
         let quic = QuicServerConfig::try_from(tls).map_err(|e| bad(&e))?;
         let mut cfg = ServerConfig::with_crypto(Arc::new(quic));
-        cfg.transport_config(Arc::new(transport(FIRST_STREAMS)));
+        cfg.transport_config(Arc::new(transport(INITIAL_STREAMS)));
         Ok(cfg)
     }
 
@@ -130,7 +132,7 @@
         tls.alpn_protocols = vec![PROTOCOL.as_bytes().to_vec()];
         let quic = QuicClientConfig::try_from(tls).map_err(|e| bad(&e))?;
         let mut cfg = ClientConfig::new(Arc::new(quic));
-        cfg.transport_config(Arc::new(transport(BACKWARD_STREAMS)));
+        cfg.transport_config(Arc::new(transport(ACCEPTOR_STREAMS)));
         Ok(cfg)
     }
 
@@ -145,7 +147,7 @@
 
 fn transport(streams: u32) -> TransportConfig {
     let mut cfg = TransportConfig::default();
-    cfg.max_idle_timeout(IdleTimeout::try_from(IDLE_CLOSE).ok())
+    cfg.max_idle_timeout(IdleTimeout::try_from(IDLE_TIMEOUT).ok())
         .max_concurrent_bidi_streams(VarInt::from_u32(streams))
         .max_concurrent_uni_streams(VarInt::from_u32(0))
         .stream_receive_window(VarInt::from_u32(STREAM_WINDOW))
@@ -154,7 +156,7 @@
     cfg
 }
 
-/// An authority made on the spot, for `dev` and tests.
+/// A certificate authority with a generated key, for `dev` and tests.
 pub struct Authority {
     issuer: Issuer<'static, KeyPair>,
     certificate: rcgen::Certificate,
@@ -172,11 +174,11 @@
 }
 
 impl Authority {
-    /// Makes a new authority.
+    /// Generates an authority with a new key.
     ///
     /// # Errors
     ///
-    /// [`Error::Keys`] when no key can be made.
+    /// [`Error::Keys`] when a key or certificate cannot be generated.
     pub fn generate() -> Result<Self, Error> {
         let mut params = CertificateParams::new(Vec::new()).map_err(|e| keys_error(&e))?;
         params.is_ca = IsCa::Ca(BasicConstraints::Unconstrained);
@@ -192,7 +194,7 @@
     ///
     /// # Errors
     ///
-    /// [`Error::Keys`] when no key can be made.
+    /// [`Error::Keys`] when a key or certificate cannot be generated.
     pub fn issue_pem(&self) -> Result<PemKeys, Error> {
         let names = vec![SERVER_NAME.to_owned()];
         let params = CertificateParams::new(names).map_err(|e| keys_error(&e))?;
@@ -211,7 +213,7 @@
     ///
     /// # Errors
     ///
-    /// [`Error::Keys`] when no key can be made.
+    /// [`Error::Keys`] when a key or certificate cannot be generated.
     pub fn issue(&self) -> Result<Keys, Error> {
         let pem = self.issue_pem()?;
         Ok(Keys {
--- a/crates/stair-link/tests/open.rs
+++ b/crates/stair-link/tests/open.rs
@@ -17,7 +17,7 @@
     link::Probing, //
 };
 
-const CONNECT_TIME: Duration = Duration::from_secs(10);
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(10);
 
 fn any_port() -> SocketAddr {
     (Ipv4Addr::LOCALHOST, 0).into()
@@ -28,10 +28,10 @@
 }
 
 fn dialer(keys: &Keys) -> Dialer {
-    Dialer::new(keys, CONNECT_TIME).expect("the keys are good")
+    Dialer::new(keys, CONNECT_TIMEOUT).expect("the keys are good")
 }
 
-/// Answers every stream with the bytes that it carried.
+/// Sends the bytes of every stream back to the peer.
 async fn echo(listener: Listener) {
     while let Some(link) = listener.accept().await {
         tokio::spawn(async move {
@@ -87,11 +87,11 @@
     assert!(accepted.try_recv().is_err(), "a second link was opened");
 }
 
-// A process of another deployment, or anything else on the network, dials a link address. Its
-// certificate comes from another authority. It must get no stream: an operator would otherwise see
-// strangers' requests at the targets.
+// A process of another deployment, or any other process on the network, connects to a link address
+// with a certificate of another authority. If it could open a link, its requests would reach the
+// targets.
 #[tokio::test]
-async fn stranger_refused() {
+async fn foreign_certificate_refused() {
     let ours = Authority::generate().expect("keys can be made");
     let theirs = Authority::generate().expect("keys can be made");
     let listener = Listener::bind(any_port(), &issue(&ours)).expect("binds");
@@ -102,19 +102,22 @@
         .connect(addr, Probing::REQUESTS)
         .await;
 
-    assert!(result.is_err(), "a stranger opened a link");
+    assert!(
+        result.is_err(),
+        "a peer with a foreign certificate opened a link"
+    );
 }
 
-// A target's VM is gone and its address swallows everything. A burst of requests for it meets
-// there. Callers must all be told, or sent elsewhere, after the time of one attempt; with attempts
-// one after the other the last of them would wait for half a minute.
+// A target's VM was removed, and packets to its address are dropped. A burst of requests to the
+// target must fail after one connect timeout; with an attempt per request, one after the other, the
+// last of the 30 would wait for half a minute.
 #[tokio::test(start_paused = true)]
 async fn burst_shares_failure() {
-    const TIME: Duration = Duration::from_secs(1);
+    const SHORT_TIMEOUT: Duration = Duration::from_secs(1);
     let authority = Authority::generate().expect("keys can be made");
     let dead = std::net::UdpSocket::bind(any_port()).expect("binds");
     let addr = dead.local_addr().expect("is bound");
-    let dialer = Dialer::new(&issue(&authority), TIME).expect("the keys are good");
+    let dialer = Dialer::new(&issue(&authority), SHORT_TIMEOUT).expect("the keys are good");
     let pool = Pool::new(dialer.clone(), Probing::REQUESTS);
     let began = tokio::time::Instant::now();
 
@@ -125,15 +128,22 @@
     }
     let all = tasks.join_all().await;
 
-    assert!(all.iter().all(Result::is_err), "a dead address answered");
-    assert!(began.elapsed() < TIME * 2, "took {:?}", began.elapsed());
+    assert!(
+        all.iter().all(Result::is_err),
+        "an unresponsive address responded"
+    );
+    assert!(
+        began.elapsed() < SHORT_TIMEOUT * 2,
+        "took {:?}",
+        began.elapsed()
+    );
     assert_eq!(dialer.replaced(), 1);
 }
 
-// The request that began an attempt is given up by its caller, while others wait for the same
-// link. They must get it all the same.
+// The request that started a connection attempt is cancelled while others wait for the same link.
+// The others must still get the link.
 #[tokio::test]
-async fn first_gives_up() {
+async fn first_waiter_cancelled() {
     let authority = Authority::generate().expect("keys can be made");
     let listener = Listener::bind(any_port(), &issue(&authority)).expect("binds");
     let addr = listener.addr().expect("is bound");
