--- a/crates/stair-telemetry/src/event.rs
+++ b/crates/stair-telemetry/src/event.rs
@@ -48,29 +48,29 @@
 
 /// Lines a second on average: forty requests a second with four lines each stay below it. A bound
 /// on the cost under bursts; the processor time of a line was not measured.
-const LINES_PER_S: f64 = 250.0;
+const LINES_PER_SECOND: f64 = 250.0;
 
 /// Lines that may come at once after a quiet time.
-const LINES_AT_ONCE: f64 = 500.0;
+const BURST_LINES: f64 = 500.0;
 
 /// Lines waiting for the thread that writes them.
-const QUEUE_LINES: usize = 1024;
+const QUEUE_CAPACITY: usize = 1024;
 
 /// Longest time that a line stays in the buffer. Written one by one, lines cost a system call each;
 /// what a killed process loses is bounded by this.
-const FLUSH_EVERY: Duration = Duration::from_millis(100);
+const FLUSH_INTERVAL: Duration = Duration::from_millis(100);
 
 static DROPPED: AtomicU64 = AtomicU64::new(0);
-static BUCKET: Mutex<Option<Bucket>> = Mutex::new(None);
+static WRITER: Mutex<Option<Writer>> = Mutex::new(None);
 
-struct Bucket {
+struct Writer {
     /// The name, as JSON.
     process: Box<str>,
     start: Instant,
-    at: Instant,
-    left: f64,
-    tx: SyncSender<Entry>,
-    told: Instant,
+    refilled_at: Instant,
+    tokens: f64,
+    tx: SyncSender<Message>,
+    reported_at: Instant,
 }
 
 /// Sends this process's lines to standard output from now on, each with the process's name. Before,
@@ -90,25 +90,25 @@
         .sink(out)
         .build()
         .context("cannot make the logger")?;
-    let (tx, rx) = sync_channel(QUEUE_LINES);
+    let (tx, rx) = sync_channel(QUEUE_CAPACITY);
     thread::Builder::new()
         .name("log".to_owned())
         .spawn(move || write_lines(&logger, &rx))
         .context("cannot start the thread that logs")?;
     let now = Instant::now();
-    *bucket() = Some(Bucket {
+    *writer() = Some(Writer {
         process: serde_json::to_string(process)?.into(),
         start: now,
-        at: now,
-        left: LINES_AT_ONCE,
+        refilled_at: now,
+        tokens: BURST_LINES,
         tx,
-        told: now,
+        reported_at: now,
     });
     Ok(())
 }
 
 /// What the thread that logs is given.
-enum Entry {
+enum Message {
     Line(String),
     /// Asks to be told when all before it is written.
     Flush(SyncSender<()>),
@@ -117,25 +117,25 @@
 /// Writes out what is queued, and returns when it is written or cannot be for a while.
 pub fn flush() {
     let (tx, rx) = sync_channel(1);
-    let asked = bucket()
+    let queued = writer()
         .as_ref()
-        .is_some_and(|b| b.tx.try_send(Entry::Flush(tx)).is_ok());
-    if asked {
+        .is_some_and(|w| w.tx.try_send(Message::Flush(tx)).is_ok());
+    if queued {
         // A reader that stands still must not keep the process from ending.
-        let _ = rx.recv_timeout(FLUSH_EVERY * 3);
+        let _ = rx.recv_timeout(FLUSH_INTERVAL * 3);
     }
 }
 
-fn write_lines(logger: &Logger, rx: &Receiver<Entry>) {
+fn write_lines(logger: &Logger, rx: &Receiver<Message>) {
     let mut flushed = Instant::now();
     loop {
-        if flushed.elapsed() >= FLUSH_EVERY {
+        if flushed.elapsed() >= FLUSH_INTERVAL {
             logger.flush();
             flushed = Instant::now();
         }
-        match rx.recv_timeout(FLUSH_EVERY) {
-            Ok(Entry::Line(line)) => spdlog::info!(logger: logger, "{line}"),
-            Ok(Entry::Flush(tx)) => {
+        match rx.recv_timeout(FLUSH_INTERVAL) {
+            Ok(Message::Line(line)) => spdlog::info!(logger: logger, "{line}"),
+            Ok(Message::Flush(tx)) => {
                 logger.flush();
                 // Who asked may have gone on.
                 let _ = tx.send(());
@@ -146,8 +146,8 @@
     }
 }
 
-fn bucket() -> std::sync::MutexGuard<'static, Option<Bucket>> {
-    BUCKET.lock().unwrap_or_else(PoisonError::into_inner)
+fn writer() -> std::sync::MutexGuard<'static, Option<Writer>> {
+    WRITER.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
 /// How much a line matters when there are too many.
@@ -220,27 +220,27 @@
 
     /// Writes the line, or drops it when there are too many.
     pub fn write(self) {
-        let mut guard = bucket();
-        let Some(bucket) = guard.as_mut() else {
+        let mut guard = writer();
+        let Some(writer) = guard.as_mut() else {
             return;
         };
         let now = Instant::now();
-        bucket.refill(now);
-        if bucket.left < 1.0 && self.weight == Weight::Usual {
+        writer.refill(now);
+        if writer.tokens < 1.0 && self.weight == Weight::Usual {
             DROPPED.fetch_add(1, Ordering::Relaxed);
             return;
         }
-        bucket.left -= 1.0;
-        bucket.send(now, &self.buf);
-        bucket.tell_dropped(now);
+        writer.tokens -= 1.0;
+        writer.send(now, &self.buf);
+        writer.report_dropped(now);
     }
 }
 
-impl Bucket {
+impl Writer {
     fn refill(&mut self, now: Instant) {
-        let passed = now.duration_since(self.at).as_secs_f64();
-        self.at = now;
-        self.left = (self.left + passed * LINES_PER_S).min(LINES_AT_ONCE);
+        let passed = now.duration_since(self.refilled_at).as_secs_f64();
+        self.refilled_at = now;
+        self.tokens = (self.tokens + passed * LINES_PER_SECOND).min(BURST_LINES);
     }
 
     fn send(&self, now: Instant, fields: &str) {
@@ -254,16 +254,16 @@
             up.as_secs_f64(),
             self.process
         );
-        if self.tx.try_send(Entry::Line(line)).is_err() {
+        if self.tx.try_send(Message::Line(line)).is_err() {
             DROPPED.fetch_add(1, Ordering::Relaxed);
         }
     }
 
-    fn tell_dropped(&mut self, now: Instant) {
-        if now.duration_since(self.told) < Duration::from_secs(1) {
+    fn report_dropped(&mut self, now: Instant) {
+        if now.duration_since(self.reported_at) < Duration::from_secs(1) {
             return;
         }
-        self.told = now;
+        self.reported_at = now;
         let dropped = DROPPED.swap(0, Ordering::Relaxed);
         if dropped > 0 {
             let fields = format!("\"event\":\"log.dropped\",\"lines\":{dropped}");
