--- a/crates/stair-telemetry/src/explain.rs
+++ b/crates/stair-telemetry/src/explain.rs
@@ -9,7 +9,7 @@
 
 /// What happened around a request that bears no request's id: a target or agent changed at the same
 /// time. Lines of these kinds about the request's targets are shown too.
-const ABOUT_TARGETS: [&str; 3] = ["target", "agent.lost", "agent.linked"];
+const TARGET_EVENTS: [&str; 3] = ["target", "agent.lost", "agent.linked"];
 
 /// One line of the story.
 #[derive(Debug, Clone, PartialEq)]
@@ -29,51 +29,59 @@
 where
     I: IntoIterator<Item = &'a str> + Clone,
 {
-    let own: Vec<Map<String, Value>> = lines
+    let own_lines: Vec<Map<String, Value>> = lines
         .clone()
         .into_iter()
         .filter(|l| l.contains(id))
-        .filter_map(object)
+        .filter_map(parse_object)
         .filter(|o| o.get("id").and_then(Value::as_str) == Some(id))
         .collect();
-    let targets: Vec<&str> = own
+    let targets: Vec<&str> = own_lines
         .iter()
         .filter_map(|o| o.get("target").or(o.get("addr"))?.as_str())
         .collect();
-    let (first, last) = span(&own);
+    let (first, last) = time_span(&own_lines);
     let around = lines
         .into_iter()
-        .filter_map(object)
-        .filter(|o| concerns(o, &targets) && (first..=last).contains(&time(o)));
-    let mut steps: Vec<Step> = own.iter().cloned().chain(around).map(step).collect();
+        .filter_map(parse_object)
+        .filter(|o| is_target_event(o, &targets) && (first..=last).contains(&timestamp(o)));
+    let mut steps: Vec<Step> = own_lines
+        .iter()
+        .cloned()
+        .chain(around)
+        .map(to_step)
+        .collect();
     steps.sort_by(|a, b| a.at.total_cmp(&b.at));
     steps.dedup();
     steps
 }
 
-pub(crate) fn object(line: &str) -> Option<Map<String, Value>> {
+pub(crate) fn parse_object(line: &str) -> Option<Map<String, Value>> {
     let start = line.find('{')?;
     serde_json::from_str(line[start..].trim_end()).ok()
 }
 
-fn time(o: &Map<String, Value>) -> f64 {
+fn timestamp(o: &Map<String, Value>) -> f64 {
     o.get("ts").and_then(Value::as_f64).unwrap_or(0.0)
 }
 
-fn span(own: &[Map<String, Value>]) -> (f64, f64) {
-    let first = own.iter().map(time).fold(f64::INFINITY, f64::min);
-    let last = own.iter().map(time).fold(f64::NEG_INFINITY, f64::max);
+fn time_span(lines: &[Map<String, Value>]) -> (f64, f64) {
+    let first = lines.iter().map(timestamp).fold(f64::INFINITY, f64::min);
+    let last = lines
+        .iter()
+        .map(timestamp)
+        .fold(f64::NEG_INFINITY, f64::max);
     (first, last)
 }
 
-fn concerns(o: &Map<String, Value>, targets: &[&str]) -> bool {
+fn is_target_event(o: &Map<String, Value>, targets: &[&str]) -> bool {
     let text = |name: &str| o.get(name).and_then(Value::as_str);
-    let kind = text("event").is_some_and(|e| ABOUT_TARGETS.contains(&e));
+    let kind = text("event").is_some_and(|e| TARGET_EVENTS.contains(&e));
     let named = text("target").or(text("engine"));
     kind && named.is_some_and(|t| targets.contains(&t))
 }
 
-fn step(o: Map<String, Value>) -> Step {
+fn to_step(o: Map<String, Value>) -> Step {
     let text = |name: &str| o.get(name).and_then(Value::as_str).unwrap_or("").into();
     let hidden = ["ts", "up", "process", "event", "id"];
     let shown = o.iter().filter(|(k, _)| !hidden.contains(&k.as_str()));
@@ -84,7 +92,7 @@
         })
         .collect();
     Step {
-        at: time(&o),
+        at: timestamp(&o),
         process: text("process"),
         event: text("event"),
         fields,
--- a/crates/stair-telemetry/src/losses.rs
+++ b/crates/stair-telemetry/src/losses.rs
@@ -9,10 +9,10 @@
     Value, //
 };
 
-use crate::explain::object;
+use crate::explain::parse_object;
 
 /// Part of the objective that one wait has to take to be named as the reason of a late answer.
-const MAIN_PART: f64 = 0.4;
+const MAIN_WAIT_FRACTION: f64 = 0.4;
 
 /// What became of one request.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
@@ -80,14 +80,14 @@
 {
     let mut all: Vec<Map<String, Value>> = lines
         .into_iter()
-        .filter_map(object)
+        .filter_map(parse_object)
         .filter(|o| o.contains_key("id"))
         .collect();
     // The lines of one process are in order; a request's are all of one process.
     all.sort_by(|a, b| text(a, "id").cmp(text(b, "id")));
     let mut ends: Vec<(Box<str>, Box<str>, End)> = all
         .chunk_by(|a, b| text(a, "id") == text(b, "id"))
-        .filter_map(one)
+        .filter_map(classify_request)
         .collect();
     ends.sort();
     ends.chunk_by(|a, b| a == b)
@@ -100,9 +100,9 @@
         .collect()
 }
 
-fn one(lines: &[Map<String, Value>]) -> Option<(Box<str>, Box<str>, End)> {
+fn classify_request(lines: &[Map<String, Value>]) -> Option<(Box<str>, Box<str>, End)> {
     let request = lines.iter().find(|o| text(o, "event") == "request")?;
-    let end = end(request, lines);
+    let end = classify(request, lines);
     Some((
         text(request, "route").into(),
         text(request, "model").into(),
@@ -110,7 +110,7 @@
     ))
 }
 
-fn end(request: &Map<String, Value>, lines: &[Map<String, Value>]) -> End {
+fn classify(request: &Map<String, Value>, lines: &[Map<String, Value>]) -> End {
     let last = |event: &str| lines.iter().rev().find(|o| text(o, "event") == event);
     if let Some(refused) = last("refused") {
         return End::Refused(text(refused, "reason").into());
@@ -137,7 +137,7 @@
         .and_then(Value::as_f64)
         .unwrap_or(0.0);
     if objective > 0.0 && first > objective {
-        return late(lines, objective);
+        return classify_late(lines, objective);
     }
     if gap > 0.0 && number(answered, "pause_ms") > gap {
         return End::Paused;
@@ -145,16 +145,16 @@
     End::OnTime
 }
 
-fn late(lines: &[Map<String, Value>], objective: f64) -> End {
+fn classify_late(lines: &[Map<String, Value>], objective: f64) -> End {
     let took = |event: &str| -> f64 {
         let of = lines.iter().filter(|o| text(o, "event") == event);
         of.map(|o| number(o, "took_ms")).sum()
     };
-    let main = MAIN_PART * objective;
+    let main_wait_ms = MAIN_WAIT_FRACTION * objective;
     let attempts = lines.iter().filter(|o| text(o, "event") == "attempt");
-    if took("woken") + took("woken.elsewhere") > main {
+    if took("woken") + took("woken.elsewhere") > main_wait_ms {
         End::LateModel
-    } else if took("adapter") > main {
+    } else if took("adapter") > main_wait_ms {
         End::LateAdapter
     } else if attempts.count() > 1 {
         End::LateRetry
