--- a/crates/stair-telemetry/src/observe.rs
+++ b/crates/stair-telemetry/src/observe.rs
@@ -45,7 +45,7 @@
         let opts = opts.clone();
         async move {
             match req.uri().path() {
-                "/dump" => operator::in_time((opts.dump)()).await,
+                "/dump" => operator::state_response((opts.dump)()).await,
                 _ => Response::new(full((opts.page)())),
             }
         }
--- a/crates/stair-telemetry/src/operator.rs
+++ b/crates/stair-telemetry/src/operator.rs
@@ -41,7 +41,7 @@
 
 /// Time for the process to tell its state. A process whose control thread hangs would otherwise
 /// leave the operator waiting without an answer, just when he asks what hangs.
-const ANSWER_TIMEOUT: Duration = Duration::from_secs(5);
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// What the listener asks of its process.
 #[derive(Debug, Clone)]
@@ -73,12 +73,12 @@
     };
     let handler = move |req: Request<Incoming>| {
         let routes = routes.clone();
-        async move { answer(&req, &routes).await }
+        async move { respond(&req, &routes).await }
     };
     server::serve(listener, opts, stop, handler).await;
 }
 
-async fn answer<S, SF, D, DF, R, RF>(
+async fn respond<S, SF, D, DF, R, RF>(
     req: &Request<Incoming>,
     routes: &Routes<S, D, R>,
 ) -> Response<Body>
@@ -91,11 +91,11 @@
     RF: Future<Output = ()>,
 {
     match (req.method(), req.uri().path()) {
-        (&Method::GET, "/status") => in_time((routes.status)()).await,
-        (&Method::GET, "/dump") => in_time((routes.dump)()).await,
-        (&Method::POST, "/drain") => match timeout(ANSWER_TIMEOUT, (routes.drain)()).await {
+        (&Method::GET, "/status") => state_response((routes.status)()).await,
+        (&Method::GET, "/dump") => state_response((routes.dump)()).await,
+        (&Method::POST, "/drain") => match timeout(RESPONSE_TIMEOUT, (routes.drain)()).await {
             Ok(()) => json_response(StatusCode::ACCEPTED, &json!({ "draining": true })),
-            Err(_) => hangs(),
+            Err(_) => timed_out(),
         },
         (_, "/status" | "/dump") => wrong_method("GET"),
         (_, "/drain") => wrong_method("POST"),
@@ -106,18 +106,18 @@
     }
 }
 
-pub(crate) async fn in_time<F>(state: F) -> Response<Body>
+pub(crate) async fn state_response<F>(state: F) -> Response<Body>
 where
     F: Future<Output = Value>,
 {
-    match timeout(ANSWER_TIMEOUT, state).await {
+    match timeout(RESPONSE_TIMEOUT, state).await {
         Ok(value) => json_response(StatusCode::OK, &value),
-        Err(_) => hangs(),
+        Err(_) => timed_out(),
     }
 }
 
-fn hangs() -> Response<Body> {
-    let message = format!("the process did not tell its state within {ANSWER_TIMEOUT:?}");
+fn timed_out() -> Response<Body> {
+    let message = format!("the process did not tell its state within {RESPONSE_TIMEOUT:?}");
     json_response(
         StatusCode::SERVICE_UNAVAILABLE,
         &json!({ "error": message }),
