--- a/crates/stair-telemetry/src/page.rs
+++ b/crates/stair-telemetry/src/page.rs
@@ -53,21 +53,21 @@
 impl Page {
     /// Adds to a counter.
     pub fn count(&self, name: &'static str, labels: &[Label<'_>], n: u64) {
-        if let Some(value) = slot(&mut self.lock().counters, name, labels) {
+        if let Some(value) = series(&mut self.lock().counters, name, labels) {
             *value += n;
         }
     }
 
     /// Sets a gauge.
     pub fn gauge(&self, name: &'static str, labels: &[Label<'_>], to: i64) {
-        if let Some(value) = slot(&mut self.lock().gauges, name, labels) {
+        if let Some(value) = series(&mut self.lock().gauges, name, labels) {
             *value = to;
         }
     }
 
     /// Takes a time into a histogram.
     pub fn time(&self, name: &'static str, labels: &[Label<'_>], t: Duration) {
-        if let Some(h) = slot(&mut self.lock().histograms, name, labels) {
+        if let Some(h) = series(&mut self.lock().histograms, name, labels) {
             let ms = u32::try_from(t.as_millis()).unwrap_or(u32::MAX);
             h.buckets[BOUNDS_MS.partition_point(|b| *b < ms)] += 1;
             h.sum += t;
@@ -113,8 +113,8 @@
     }
 }
 
-fn slot<'a, T: Default>(
-    list: &'a mut Vec<(Key, T)>,
+fn series<'a, T: Default>(
+    all: &'a mut Vec<(Key, T)>,
     name: &'static str,
     labels: &[Label<'_>],
 ) -> Option<&'a mut T> {
@@ -127,13 +127,13 @@
         name,
         labels: text.into(),
     };
-    let i = match list.binary_search_by(|(k, _)| k.cmp(&key)) {
+    let i = match all.binary_search_by(|(k, _)| k.cmp(&key)) {
         Ok(i) => i,
-        Err(_) if list.len() >= MAX_SERIES => return None,
+        Err(_) if all.len() >= MAX_SERIES => return None,
         Err(i) => {
-            list.insert(i, (key, T::default()));
+            all.insert(i, (key, T::default()));
             i
         }
     };
-    Some(&mut list[i].1)
+    Some(&mut all[i].1)
 }
