--- a/crates/stair-telemetry/tests/event_lines.rs
+++ b/crates/stair-telemetry/tests/event_lines.rs
@@ -15,7 +15,7 @@
 #[test]
 fn burst_does_not_wait() {
     event::init("p\"1").expect("a logger");
-    let begun = Instant::now();
+    let start = Instant::now();
     for i in 0..10_000 {
         Line::new("usual")
             .num("n", i)
@@ -23,6 +23,6 @@
             .write();
     }
     Line::failure("kept").write();
-    assert!(begun.elapsed() < Duration::from_secs(2));
+    assert!(start.elapsed() < Duration::from_secs(2));
     event::flush();
 }
--- a/crates/stair-telemetry/tests/operator_listener.rs
+++ b/crates/stair-telemetry/tests/operator_listener.rs
@@ -36,7 +36,7 @@
     task::JoinHandle, //
 };
 
-const LONG: Duration = Duration::from_secs(60);
+const TEST_TIMEOUT: Duration = Duration::from_secs(60);
 
 struct Listener {
     client: Client,
@@ -45,7 +45,7 @@
     task: JoinHandle<()>,
 }
 
-async fn listener(dump_hangs: bool) -> Listener {
+async fn start_listener(dump_hangs: bool) -> Listener {
     let socket = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let client = Client::new(socket.local_addr().unwrap(), Options::default());
     let (stop, stopped) = watch::channel(false);
@@ -73,27 +73,27 @@
     }
 }
 
-async fn ask(client: &Client, method: Method, path: &str) -> (StatusCode, Value) {
+async fn send_request(client: &Client, method: Method, path: &str) -> (StatusCode, Value) {
     let req = Request::builder()
         .method(method)
         .uri(path)
         .body(Full::new(Bytes::new()))
         .unwrap();
-    let answer = client.send(req, LONG).await.unwrap();
-    let status = answer.head.status;
-    let body = answer.collect(1 << 20, LONG).await.unwrap();
+    let resp = client.send(req, TEST_TIMEOUT).await.unwrap();
+    let status = resp.head.status;
+    let body = resp.collect(1 << 20, TEST_TIMEOUT).await.unwrap();
     (status, serde_json::from_slice(&body).unwrap())
 }
 
 #[tokio::test]
 async fn pages_answer() {
-    let l = listener(false).await;
-    let status = ask(&l.client, Method::GET, "/status").await;
+    let l = start_listener(false).await;
+    let status = send_request(&l.client, Method::GET, "/status").await;
     assert_eq!(status, (StatusCode::OK, json!({ "config": 7 })));
-    let dump = ask(&l.client, Method::GET, "/dump").await;
+    let dump = send_request(&l.client, Method::GET, "/dump").await;
     assert_eq!(dump, (StatusCode::OK, json!({ "targets": ["a", "b"] })));
     assert!(!l.drained.load(Ordering::SeqCst));
-    let drain = ask(&l.client, Method::POST, "/drain").await;
+    let drain = send_request(&l.client, Method::POST, "/drain").await;
     assert_eq!(drain.0, StatusCode::ACCEPTED);
     assert!(l.drained.load(Ordering::SeqCst));
     l.stop.send(true).unwrap();
@@ -101,12 +101,12 @@
 }
 
 #[tokio::test]
-async fn wrong_calls() {
-    let l = listener(false).await;
-    let (status, _) = ask(&l.client, Method::GET, "/drain").await;
+async fn wrong_method_and_path() {
+    let l = start_listener(false).await;
+    let (status, _) = send_request(&l.client, Method::GET, "/drain").await;
     assert_eq!(status, StatusCode::METHOD_NOT_ALLOWED);
     assert!(!l.drained.load(Ordering::SeqCst));
-    let (status, _) = ask(&l.client, Method::GET, "/else").await;
+    let (status, _) = send_request(&l.client, Method::GET, "/else").await;
     assert_eq!(status, StatusCode::NOT_FOUND);
 }
 
@@ -114,10 +114,10 @@
 // a plain answer that says so after a few seconds, in place of a connection that stays silent.
 #[tokio::test]
 async fn hung_process() {
-    let l = listener(true).await;
-    let (status, body) = ask(&l.client, Method::GET, "/dump").await;
+    let l = start_listener(true).await;
+    let (status, body) = send_request(&l.client, Method::GET, "/dump").await;
     assert_eq!(status, StatusCode::SERVICE_UNAVAILABLE);
     assert!(body["error"].as_str().unwrap().contains("did not tell"));
-    let (status, _) = ask(&l.client, Method::GET, "/status").await;
+    let (status, _) = send_request(&l.client, Method::GET, "/status").await;
     assert_eq!(status, StatusCode::OK);
 }
--- a/crates/stair-telemetry/tests/statsd_metrics.rs
+++ b/crates/stair-telemetry/tests/statsd_metrics.rs
@@ -22,23 +22,23 @@
     Verdict, //
 };
 
-const LONG: Duration = Duration::from_secs(60);
+const TEST_TIMEOUT: Duration = Duration::from_secs(60);
 
 fn receive(statsd: &UdpSocket, metrics: &Metrics, lines: usize) -> Vec<String> {
-    let mut got = Vec::new();
+    let mut received = Vec::new();
     let mut buf = [0; 2048];
     let start = Instant::now();
     statsd
         .set_read_timeout(Some(Duration::from_millis(20)))
         .unwrap();
-    while got.len() < lines && start.elapsed() < LONG {
+    while received.len() < lines && start.elapsed() < TEST_TIMEOUT {
         metrics.flush();
         if let Ok(n) = statsd.recv(&mut buf) {
             let text = std::str::from_utf8(&buf[..n]).unwrap();
-            got.extend(text.lines().map(str::to_owned));
+            received.extend(text.lines().map(str::to_owned));
         }
     }
-    got
+    received
 }
 
 #[test]
@@ -71,16 +71,16 @@
 // no room; a caller notices nothing.
 #[test]
 fn missing_server() {
-    let gone = UdpSocket::bind("127.0.0.1:0").unwrap();
-    let addr = gone.local_addr().unwrap();
-    drop(gone);
+    let closed = UdpSocket::bind("127.0.0.1:0").unwrap();
+    let addr = closed.local_addr().unwrap();
+    drop(closed);
     let metrics = Metrics::new(Some(addr)).unwrap();
     let start = Instant::now();
     for _ in 0..100_000 {
         metrics.link_replaced();
     }
     metrics.flush();
-    assert!(start.elapsed() < LONG);
+    assert!(start.elapsed() < TEST_TIMEOUT);
 }
 
 #[test]
