--- a/crates/stair-telemetry/src/event.rs
+++ b/crates/stair-telemetry/src/event.rs
@@ -1,8 +1,9 @@
-//! Structured lines: one JSON object for each decision and each change of what a process believes.
+//! Structured log lines: one JSON object per decision and per change of a process's view of others.
 //!
-//! Lines go to standard output from a thread of their own. Under load a process must neither wait
-//! for whoever reads them nor spend its processor on them, so their number a second is bounded and
-//! a full queue drops lines; both are counted, and the count is a line of its own once a second.
+//! A separate thread writes the lines to standard output. Under load a process must neither block
+//! on a slow reader nor spend its processor time on logging, so the lines are rate-limited, and a
+//! full queue drops them. Dropped lines are counted and reported as `log.dropped`, at most once a
+//! second.
 
 use std::{
     fmt::{
@@ -46,25 +47,26 @@
     sink::WriteSink,
 };
 
-/// Lines a second on average: forty requests a second with four lines each stay below it. A bound
-/// on the cost under bursts; the processor time of a line was not measured.
+/// Average rate limit, which bounds the cost of bursts. Forty requests a second with four lines
+/// each stay below it.
 const LINES_PER_SECOND: f64 = 250.0;
 
-/// Lines that may come at once after a quiet time.
+/// Lines accepted in one burst after an idle period.
 const BURST_LINES: f64 = 500.0;
 
-/// Lines waiting for the thread that writes them.
+/// Lines that may wait for the logging thread.
 const QUEUE_CAPACITY: usize = 1024;
 
-/// Longest time that a line stays in the buffer. Written one by one, lines cost a system call each;
-/// what a killed process loses is bounded by this.
+/// Interval between flushes of the buffer. Buffering saves a system call per line; a killed process
+/// loses no more than the lines of one interval from it.
 const FLUSH_INTERVAL: Duration = Duration::from_millis(100);
 
 static DROPPED: AtomicU64 = AtomicU64::new(0);
 static WRITER: Mutex<Option<Writer>> = Mutex::new(None);
 
+/// Token bucket in front of the queue to the logging thread.
 struct Writer {
-    /// The name, as JSON.
+    /// The name of the process, as a JSON string.
     process: Box<str>,
     start: Instant,
     refilled_at: Instant,
@@ -73,12 +75,13 @@
     reported_at: Instant,
 }
 
-/// Sends this process's lines to standard output from now on, each with the process's name. Before,
-/// they are dropped.
+/// Starts writing lines to standard output, each with this process name.
+///
+/// Lines written before this call are discarded.
 ///
 /// # Errors
 ///
-/// When standard output cannot be set up as a sink.
+/// Fails when the logger cannot be built or its thread cannot be started.
 pub fn init(process: &str) -> anyhow::Result<()> {
     let line = pattern!("{payload}{eol}");
     let out = WriteSink::builder()
@@ -107,21 +110,23 @@
     Ok(())
 }
 
-/// What the thread that logs is given.
+/// A message to the logging thread.
 enum Message {
     Line(String),
-    /// Asks to be told when all before it is written.
+    /// Requests a reply once all earlier lines are written.
     Flush(SyncSender<()>),
 }
 
-/// Writes out what is queued, and returns when it is written or cannot be for a while.
+/// Flushes the queued lines.
+///
+/// Returns after three flush intervals (300 ms) even if the lines are not written yet.
 pub fn flush() {
     let (tx, rx) = sync_channel(1);
     let queued = writer()
         .as_ref()
         .is_some_and(|w| w.tx.try_send(Message::Flush(tx)).is_ok());
     if queued {
-        // A reader that stands still must not keep the process from ending.
+        // A blocked reader must not keep the process from stopping.
         let _ = rx.recv_timeout(FLUSH_INTERVAL * 3);
     }
 }
@@ -137,7 +142,7 @@
             Ok(Message::Line(line)) => spdlog::info!(logger: logger, "{line}"),
             Ok(Message::Flush(tx)) => {
                 logger.flush();
-                // Who asked may have gone on.
+                // `flush` may have timed out.
                 let _ = tx.send(());
             }
             Err(RecvTimeoutError::Timeout) => {}
@@ -150,16 +155,17 @@
     WRITER.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// How much a line matters when there are too many.
+/// Priority of a line under the rate limit.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Weight {
-    /// Dropped first.
+    /// Dropped when the rate limit is exceeded.
     Usual,
-    /// Failures and changes of belief: kept until the queue itself is full.
+    /// A failure or a state change: exempt from the rate limit, dropped only when the queue is
+    /// full.
     Failure,
 }
 
-/// A line being made.
+/// Builder of a structured line.
 #[must_use = "a line is written by `write`"]
 pub struct Line {
     buf: String,
@@ -167,7 +173,7 @@
 }
 
 impl Line {
-    /// Begins a line about what happened.
+    /// Begins a line with the name of the event.
     pub fn new(event: &'static str) -> Self {
         let mut buf = String::with_capacity(256);
         let _ = write!(buf, "\"event\":\"{event}\"");
@@ -177,7 +183,7 @@
         }
     }
 
-    /// Begins a line about a failure or a change of belief.
+    /// Begins a line about a failure or a state change, which is exempt from the rate limit.
     pub fn failure(event: &'static str) -> Self {
         Self {
             weight: Weight::Failure,
@@ -185,7 +191,7 @@
         }
     }
 
-    /// Adds a text.
+    /// Adds a text field.
     pub fn text(mut self, name: &'static str, value: &str) -> Self {
         let _ = write!(self.buf, ",\"{name}\":");
         match serde_json::to_string(value) {
@@ -195,30 +201,30 @@
         self
     }
 
-    /// Adds whatever displays itself, as a text.
+    /// Adds the `Display` output of a value as a text field.
     pub fn show(self, name: &'static str, value: impl fmt::Display) -> Self {
         self.text(name, &value.to_string())
     }
 
-    /// Adds a whole number.
+    /// Adds an integer field.
     pub fn num(mut self, name: &'static str, value: impl Into<i128>) -> Self {
         let _ = write!(self.buf, ",\"{name}\":{}", value.into());
         self
     }
 
-    /// Adds a time in milliseconds.
+    /// Adds a duration in milliseconds, with one decimal.
     pub fn ms(mut self, name: &'static str, value: Duration) -> Self {
         let _ = write!(self.buf, ",\"{name}\":{:.1}", value.as_secs_f64() * 1000.0);
         self
     }
 
-    /// Adds a yes or no.
+    /// Adds a boolean field.
     pub fn flag(mut self, name: &'static str, value: bool) -> Self {
         let _ = write!(self.buf, ",\"{name}\":{value}");
         self
     }
 
-    /// Writes the line, or drops it when there are too many.
+    /// Queues the line without blocking, or drops it when the rate limit or the queue is exceeded.
     pub fn write(self) {
         let mut guard = writer();
         let Some(writer) = guard.as_mut() else {
--- a/crates/stair-telemetry/src/explain.rs
+++ b/crates/stair-telemetry/src/explain.rs
@@ -1,30 +1,33 @@
-//! Tells one request's story out of the structured lines of several processes.
+//! Reconstructs the timeline of one request from the structured lines of several processes.
 //!
-//! A line may have anything before its JSON object, as collectors put the time and the VM there.
+//! Any prefix before the JSON object of a line is ignored, since collectors put the time and the VM
+//! there.
 
 use serde_json::{
     Map,
     Value, //
 };
 
-/// What happened around a request that bears no request's id: a target or agent changed at the same
-/// time. Lines of these kinds about the request's targets are shown too.
+/// Events without a request id that report a change of a target or its agent. They are included
+/// when they concern a target of the request and occur between its first and its last line.
 const TARGET_EVENTS: [&str; 3] = ["target", "agent.lost", "agent.linked"];
 
-/// One line of the story.
+/// One event in the timeline of a request.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Step {
-    /// Seconds since the epoch, by the clock of the process.
+    /// Seconds since the Unix epoch, by the clock of the reporting process.
     pub at: f64,
-    /// The process that says so.
+    /// The name of the process that wrote the line.
     pub process: Box<str>,
-    /// What happened.
+    /// The name of the log event.
     pub event: Box<str>,
-    /// The rest of the line, as `name=value`.
+    /// The remaining fields of the line, as `name=value`.
     pub fields: Vec<Box<str>>,
 }
 
-/// Picks the lines about a request and orders them by time.
+/// Returns the events of the request with this id, ordered by time.
+///
+/// Lines without a valid JSON object are skipped. The result is empty when no line has the id.
 pub fn story<'a, I>(lines: I, id: &str) -> Vec<Step>
 where
     I: IntoIterator<Item = &'a str> + Clone,
--- a/crates/stair-telemetry/src/lib.rs
+++ b/crates/stair-telemetry/src/lib.rs
@@ -1,13 +1,13 @@
-//! What a process tells its operator.
+//! Logs, metrics and the HTTP listeners for operators.
 //!
-//! - [`log`]: short sentences with a fixed prefix a part, by spdlog-rs to standard error.
-//! - [`event`]: structured lines to standard output, bounded, never blocking.
-//! - [`explain`]: one request's story out of those lines.
-//! - [`losses`]: what clients did not get in time, out of those lines.
+//! - [`log`]: free-text logs with a prefix per component, by spdlog-rs to standard error.
+//! - [`event`]: structured log lines to standard output, rate-limited and never blocking.
+//! - [`explain`]: the timeline of one request, from the lines of [`event`].
+//! - [`losses`]: late and failed requests by route and reason, from the lines of [`event`].
 //! - [`metrics`]: counters, gauges and timers, by cadence to statsd.
-//! - [`page`]: counters and histograms as text that a collector reads.
-//! - [`observe`]: the listener of a process that takes no orders, with metrics and state dump.
-//! - [`operator`]: the operator's HTTP listener with state dump, status and planned stop.
+//! - [`page`]: counters, gauges and histograms as text for a collector.
+//! - [`observe`]: a read-only HTTP listener with metrics and state dump.
+//! - [`operator`]: the operator's HTTP listener with status, state dump and drain.
 //!
 //! # Examples
 //!
--- a/crates/stair-telemetry/src/log.rs
+++ b/crates/stair-telemetry/src/log.rs
@@ -1,7 +1,7 @@
-//! Logs: short sentences with a fixed prefix a part.
+//! Free-text logs with a fixed prefix per component.
 //!
-//! Neither a caller's key nor a prompt or an answer may be passed to these macros. Requests are
-//! named by their id, callers by their declared name.
+//! Never pass a caller's key, a prompt or a response to these macros. Requests are identified by
+//! their id, callers by their declared name.
 
 use std::{
     fmt,
@@ -24,34 +24,34 @@
 pub use stair_config::LogLevel;
 use stair_config::TelemetrySettings;
 
-/// The part of a process that logs; its text is the prefix of the line.
+/// The component of a process that logs; its text is the prefix of the line.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Part {
-    /// The agent's start, stop and registration.
+    /// Start, stop and registration of the agent.
     Agent,
     /// Callers and their requests.
     Callers,
-    /// Versions of the configuration.
+    /// Configuration versions.
     Config,
-    /// Choice of a target for a request.
+    /// Selection of a target for a request.
     Dispatch,
-    /// Orders to the model engine and its answers.
+    /// Orders to the engine and its replies.
     Engine,
-    /// The entry's start and stop.
+    /// Start and stop of the entry.
     Entry,
-    /// Grants and their moves.
+    /// Grants and their transfers.
     Grants,
-    /// Links between processes.
+    /// Connections between processes.
     Links,
     /// Loading and unloading of models.
     Loads,
-    /// VMs, live and leaving.
+    /// Membership of VMs, live and draining.
     Members,
-    /// The operator's listener.
+    /// The HTTP listener for operators.
     Operator,
     /// Calls to the platform.
     Platform,
-    /// Waiting requests.
+    /// Queued requests.
     Queue,
     /// Plain services.
     Services,
@@ -60,7 +60,7 @@
 }
 
 impl Part {
-    /// Returns the prefix.
+    /// Returns the prefix of the lines.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::Agent => "agent",
@@ -88,11 +88,11 @@
     }
 }
 
-/// Sends this process's logs to standard error from now on.
+/// Installs the default logger, which writes to standard error as text or JSON.
 ///
 /// # Errors
 ///
-/// When standard error cannot be set up as a sink.
+/// Fails when the sink or the logger cannot be built.
 pub fn init(settings: &TelemetrySettings) -> anyhow::Result<()> {
     let sink = StdStreamSink::builder()
         .stderr()
@@ -113,12 +113,12 @@
     Ok(())
 }
 
-/// Writes one line; the macros of this crate call it.
+/// Writes one line; called by the macros of this crate.
 pub fn write(level: LogLevel, part: Part, message: fmt::Arguments<'_>) {
     spdlog::log!(level_of(level), "{part}: {message}");
 }
 
-/// Tells whether a line of this level would be written, to spare the work of making it.
+/// Returns whether lines of this level are written, so that callers can skip formatting them.
 pub fn enabled(level: LogLevel) -> bool {
     spdlog::default_logger().should_log(level_of(level))
 }
@@ -133,7 +133,7 @@
     }
 }
 
-/// Logs that something is broken and stays so.
+/// Logs a failure that persists without intervention.
 #[macro_export]
 macro_rules! error {
     ($part:expr, $($message:tt)+) => {
@@ -141,7 +141,7 @@
     };
 }
 
-/// Logs that something failed and is being handled.
+/// Logs a failure that the process handles.
 #[macro_export]
 macro_rules! warn {
     ($part:expr, $($message:tt)+) => {
@@ -149,7 +149,7 @@
     };
 }
 
-/// Logs a change of state that an operator wants to see.
+/// Logs a state change that is relevant to an operator.
 #[macro_export]
 macro_rules! info {
     ($part:expr, $($message:tt)+) => {
--- a/crates/stair-telemetry/src/losses.rs
+++ b/crates/stair-telemetry/src/losses.rs
@@ -1,6 +1,8 @@
-//! Counts what clients did not get in time, by route and reason, out of the lines of several entries.
+//! Counts how requests ended, by route, model and reason, from the structured lines of several
+//! entries.
 //!
-//! [`explain`](crate::explain) tells why one request failed; this tells which reasons cost the most.
+//! [`explain`](crate::explain) shows why one request failed; these counts show which reasons are
+//! the most frequent.
 
 use std::fmt;
 
@@ -11,46 +13,46 @@
 
 use crate::explain::parse_object;
 
-/// Part of the objective that one wait has to take to be named as the reason of a late answer.
+/// Fraction of the objective above which one kind of wait counts as the reason for a late response.
 const MAIN_WAIT_FRACTION: f64 = 0.4;
 
-/// What became of one request.
+/// How a request ended.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub enum End {
-    /// Answered within what the route promises.
+    /// The response met the objectives of the route.
     OnTime,
-    /// Late: its model had to be loaded first.
+    /// Late: the model had to be loaded first.
     LateModel,
-    /// Late: its adapter had to be fetched first.
+    /// Late: the adapter had to be fetched first.
     LateAdapter,
-    /// Late: it was sent to more than one target.
+    /// Late: the request was sent more than once.
     LateRetry,
-    /// Late: it queued at its target.
+    /// Late for no other known reason: the request queued at its target.
     LateQueue,
-    /// Its stream paused for longer than the route promises.
+    /// The stream paused for longer than the route allows.
     Paused,
-    /// The answer broke off.
+    /// The response was truncated.
     Cut,
-    /// A target answered with a failure of its own.
+    /// The target responded with an error status (400 or above).
     TargetFailed,
-    /// The entry refused it, for this reason.
+    /// The entry refused the request, for this reason.
     Refused(Box<str>),
-    /// The client left before its answer.
+    /// The client disconnected before the response was complete.
     ClientLeft,
-    /// Its lines end without an answer: the entry ended, or lines were dropped.
+    /// No line reports the end: the entry stopped, or lines were dropped.
     Unknown,
 }
 
-/// One row: how many requests of a route for a model ended so.
+/// The number of requests with the same route, model and end.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Row {
-    /// The route.
+    /// The name of the route.
     pub route: Box<str>,
     /// The model, empty for plain services.
     pub model: Box<str>,
-    /// What became of them.
+    /// How the requests ended.
     pub end: End,
-    /// How many.
+    /// The number of requests.
     pub count: usize,
 }
 
@@ -73,7 +75,9 @@
     }
 }
 
-/// Counts the requests of all lines, sorted by route, model and end.
+/// Counts the requests in the lines; the rows are sorted by route, model and end.
+///
+/// Requests without a `request` line are left out.
 pub fn count<'a, I>(lines: I) -> Vec<Row>
 where
     I: IntoIterator<Item = &'a str>,
@@ -83,7 +87,8 @@
         .filter_map(parse_object)
         .filter(|o| o.contains_key("id"))
         .collect();
-    // The lines of one process are in order; a request's are all of one process.
+    // All lines of a request come from one process, which writes them in order; the sort is stable
+    // and keeps that order.
     all.sort_by(|a, b| text(a, "id").cmp(text(b, "id")));
     let mut ends: Vec<(Box<str>, Box<str>, End)> = all
         .chunk_by(|a, b| text(a, "id") == text(b, "id"))
--- a/crates/stair-telemetry/src/metrics.rs
+++ b/crates/stair-telemetry/src/metrics.rs
@@ -1,7 +1,7 @@
-//! Metrics by statsd over UDP.
+//! Metrics sent to statsd over UDP.
 //!
-//! A metric goes to a bounded queue, and a thread of its own writes it to a non-blocking socket.
-//! When the queue is full the metric is dropped: a slow or missing statsd must not slow a request.
+//! A separate thread writes metrics from a bounded queue to a non-blocking socket. When the queue
+//! is full, metrics are dropped: a slow or missing statsd must not delay requests.
 
 use std::{
     net::{
@@ -27,25 +27,25 @@
     Verdict, //
 };
 
-/// The first part of every metric's name.
+/// The prefix of all metric names.
 pub const PREFIX: &str = "dandelionstair";
 
-/// Metrics that may wait for the socket. A few seconds' worth of a busy entry; about 2 MB.
+/// Metrics that may wait for the socket: a few seconds of a busy entry, about 2 MB.
 const QUEUE_LIMIT: usize = 16_384;
 
-/// Where a model's weights came from in a cold start.
+/// Where the weights of a model came from in a cold start.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Source {
-    /// The VM's memory.
+    /// The memory of the VM.
     Memory,
-    /// The VM's disk cache.
+    /// The disk cache of the VM.
     Disk,
     /// The weight store.
     Remote,
 }
 
 impl Source {
-    /// Returns the text used as a tag.
+    /// Returns the value of the tag.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::Memory => "memory",
@@ -58,16 +58,16 @@
 /// How a load ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LoadOutcome {
-    /// The engine holds the model.
+    /// The engine has loaded the model.
     Loaded,
-    /// The engine refused or failed.
+    /// The engine refused the order or failed.
     Failed,
-    /// The answer was lost, and the engine's list has to settle it.
+    /// The reply was lost; the inventory of the engine reconciles the order.
     Unknown,
 }
 
 impl LoadOutcome {
-    /// Returns the text used as a tag.
+    /// Returns the value of the tag.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::Loaded => "loaded",
@@ -77,12 +77,12 @@
     }
 }
 
-/// What a call asked of the platform.
+/// The operation of a call to the platform.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum PlatformCall {
     /// Read one object.
     Get,
-    /// Read all objects of a kind.
+    /// Read all objects of one kind.
     List,
     /// Write an object.
     Put,
@@ -93,7 +93,7 @@
 }
 
 impl PlatformCall {
-    /// Returns the text used as a tag.
+    /// Returns the value of the tag.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::Get => "get",
@@ -105,23 +105,23 @@
     }
 }
 
-/// A stretch of time that is measured.
+/// A measured duration.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Latency {
-    /// From a request's arrival to the first byte of its answer.
+    /// From the arrival of a request to the first byte of the response.
     FirstByte,
-    /// From a request's arrival to the last byte of its answer.
+    /// From the arrival of a request to the last byte of the response.
     Whole,
-    /// From a request's arrival at an agent to its run.
+    /// From the arrival of a request at an agent to its start on the target.
     Queued,
-    /// From the order to load a model until the engine holds it.
+    /// From the order to load a model until the engine has loaded it.
     ColdStart,
     /// A call to the platform.
     Platform,
 }
 
 impl Latency {
-    /// Returns the metric's name.
+    /// Returns the name of the metric.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::FirstByte => "request.first_byte",
@@ -140,11 +140,11 @@
 }
 
 impl Metrics {
-    /// Makes metrics that go to statsd at `addr`, or nowhere without one.
+    /// Creates a client of statsd at `addr`, or a disabled one without an address.
     ///
     /// # Errors
     ///
-    /// When no UDP socket can be had.
+    /// Fails when the UDP socket cannot be set up.
     pub fn new(addr: Option<SocketAddr>) -> anyhow::Result<Self> {
         let Some(addr) = addr else {
             return Ok(Self::disabled());
@@ -165,33 +165,33 @@
         })
     }
 
-    /// Makes metrics that go nowhere.
+    /// Creates a client that discards all metrics.
     pub fn disabled() -> Self {
         Self { client: None }
     }
 
-    /// Sends what the buffer holds. A process calls it about once a second, since the buffer
-    /// sends by itself only when it is full.
+    /// Sends the buffered metrics. Call it about once a second: the buffer is otherwise sent only
+    /// when it is full.
     pub fn flush(&self) {
         if let Some(client) = &self.client {
-            // Losing a metric harms no request.
+            // A lost metric does not affect requests.
             let _ = client.flush();
         }
     }
 
-    /// Counts a request that is finished, whatever its end.
+    /// Counts a finished request of any verdict.
     pub fn request(&self, tier: &TierName, verdict: Verdict) {
         let tags = [("tier", tier.as_str()), ("verdict", verdict.as_str())];
         self.count("requests", 1, &tags);
     }
 
-    /// Counts a request that was given up on.
+    /// Counts a request that ended with a refusal.
     pub fn refusal(&self, reason: Reason, verdict: Verdict) {
         let tags = [("reason", reason.as_str()), ("verdict", verdict.as_str())];
         self.count("refusals", 1, &tags);
     }
 
-    /// Reports how many requests of a tier wait in this process.
+    /// Reports the number of requests of a tier that wait in this process.
     pub fn queue_length(&self, tier: &TierName, waiting: u64) {
         if let Some(client) = &self.client {
             let metric = client.gauge_with_tags("queue.length", waiting);
@@ -209,24 +209,24 @@
         self.count("loads", 1, &[("outcome", outcome.as_str())]);
     }
 
-    /// Adds seconds during which the accelerator held an idle model.
+    /// Adds seconds during which an idle model occupied the accelerator.
     pub fn idle_accelerator_seconds(&self, seconds: u32) {
         self.count("idle_accelerator_seconds", i64::from(seconds), &[]);
     }
 
-    /// Counts a call to the platform; a waiting watch is one.
+    /// Counts a call to the platform; a long-polling watch counts as one call.
     pub fn platform_call(&self, call: PlatformCall, succeeded: bool) {
         let outcome = if succeeded { "ok" } else { "failed" };
         let tags = [("call", call.as_str()), ("outcome", outcome)];
         self.count("platform.calls", 1, &tags);
     }
 
-    /// Counts a link that fell silent and was replaced from a new local port.
+    /// Counts an unresponsive link that was replaced by one from a new local port.
     pub fn link_replaced(&self) {
         self.count("links.replaced", 1, &[]);
     }
 
-    /// Reports a measured time.
+    /// Reports a measured duration.
     pub fn latency(&self, which: Latency, time: Duration) {
         if let Some(client) = &self.client {
             client.time_with_tags(which.as_str(), time).send();
--- a/crates/stair-telemetry/src/observe.rs
+++ b/crates/stair-telemetry/src/observe.rs
@@ -1,6 +1,6 @@
-//! The listener for whoever watches a process that takes no orders.
+//! A read-only HTTP listener with the metrics and the state of a process.
 //!
-//! | call | answer |
+//! | request | response |
 //! | --- | --- |
 //! | `GET /dump` | the whole state as JSON |
 //! | any other path | counters, gauges and histograms as text |
@@ -22,16 +22,16 @@
 
 use crate::operator;
 
-/// What the listener asks of its process.
+/// Callbacks into the process that the listener serves.
 #[derive(Debug, Clone)]
 pub struct Options<P, D> {
-    /// Returns the page of metrics.
+    /// Returns the metrics as text.
     pub page: P,
-    /// Returns the whole state.
+    /// Returns the response body of `GET /dump`.
     pub dump: D,
 }
 
-/// Serves until `stop` turns true.
+/// Serves requests until `stop` turns true.
 pub async fn serve<P, D, DF>(
     listener: TcpListener,
     stop: watch::Receiver<bool>,
--- a/crates/stair-telemetry/src/operator.rs
+++ b/crates/stair-telemetry/src/operator.rs
@@ -1,10 +1,10 @@
-//! The operator's HTTP listener, apart from the callers'.
+//! The HTTP listener for operators, separate from the listener for callers.
 //!
-//! | call | answer |
+//! | request | response |
 //! | --- | --- |
-//! | `GET /status` | a short JSON object: name, version in force, whether the process drains |
+//! | `GET /status` | a short JSON object: name, active version, whether the process drains |
 //! | `GET /dump` | the whole state as JSON |
-//! | `POST /drain` | starts the planned stop; 202 at once |
+//! | `POST /drain` | starts the drain; 202 without waiting for its end |
 
 use std::time::Duration;
 
@@ -36,25 +36,27 @@
     time::timeout, //
 };
 
-/// Operators and their tools are few; more connections than this are a mistake.
+/// Connection limit. Operators and their tools need only a few connections.
 const MAX_CONNECTIONS: usize = 32;
 
-/// Time for the process to tell its state. A process whose control thread hangs would otherwise
-/// leave the operator waiting without an answer, just when he asks what hangs.
+/// Limit on the time until the process reports its state. Without it, a hung control thread would
+/// block the request of the operator who investigates the hang.
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// What the listener asks of its process.
+/// Callbacks into the process that the listener serves.
 #[derive(Debug, Clone)]
 pub struct Routes<S, D, R> {
-    /// Returns the short status.
+    /// Returns the response body of `GET /status`.
     pub status: S,
-    /// Returns the whole state.
+    /// Returns the response body of `GET /dump`.
     pub dump: D,
-    /// Starts the planned stop and returns without waiting for its end.
+    /// Starts the drain and returns without waiting for its end.
     pub drain: R,
 }
 
-/// Serves the operator until `stop` turns true.
+/// Serves requests until `stop` turns true.
+///
+/// Responds with 503 when a callback takes longer than five seconds.
 pub async fn serve<S, SF, D, DF, R, RF>(
     listener: TcpListener,
     stop: watch::Receiver<bool>,
@@ -130,7 +132,7 @@
 }
 
 fn json_response(status: StatusCode, value: &Value) -> Response<Body> {
-    // The alternate form has line breaks: operators read it by curl.
+    // The alternate form has line breaks, for operators who read it with curl.
     let mut resp = Response::new(full(format!("{value:#}\n")));
     *resp.status_mut() = status;
     resp.headers_mut()
--- a/crates/stair-telemetry/src/page.rs
+++ b/crates/stair-telemetry/src/page.rs
@@ -1,6 +1,6 @@
-//! Counters and latency histograms as a page of text that a collector reads.
+//! Counters, gauges and latency histograms in the Prometheus text format.
 //!
-//! The exposition format of Prometheus: `name{labels} value`, histograms as cumulative buckets.
+//! A sample is `name{labels} value`; histograms have cumulative buckets in milliseconds.
 
 use std::{
     fmt::Write,
@@ -11,15 +11,18 @@
     time::Duration,
 };
 
-/// Upper bounds of the buckets, in milliseconds: from one store call to the longest request.
+/// Inclusive upper bounds of the buckets in milliseconds, from one store call to the longest
+/// request.
 const BOUNDS_MS: [u32; 14] = [
     2, 5, 10, 25, 50, 100, 200, 400, 800, 1600, 2500, 5000, 10_000, 15_000,
 ];
 
-/// Series kept at once. A label with unbounded values would otherwise fill the memory.
+/// Maximum number of series of each kind. It bounds the memory when a label has unbounded values.
 const MAX_SERIES: usize = 512;
 
-/// What a process counts. Names are constants; labels have few values.
+/// The metrics of a process. Labels must have few distinct values.
+///
+/// New series beyond 512 counters, gauges or histograms are dropped.
 #[derive(Debug, Default)]
 pub struct Page {
     inner: Mutex<Inner>,
@@ -47,7 +50,7 @@
     sum: Duration,
 }
 
-/// One label: its name and value.
+/// Name and value of a label.
 pub type Label<'a> = (&'static str, &'a str);
 
 impl Page {
@@ -65,7 +68,7 @@
         }
     }
 
-    /// Takes a time into a histogram.
+    /// Records a duration in a histogram.
     pub fn time(&self, name: &'static str, labels: &[Label<'_>], t: Duration) {
         if let Some(h) = series(&mut self.lock().histograms, name, labels) {
             let ms = u32::try_from(t.as_millis()).unwrap_or(u32::MAX);
@@ -74,7 +77,7 @@
         }
     }
 
-    /// Returns the page.
+    /// Renders all metrics as text.
     pub fn text(&self) -> String {
         let inner = self.lock();
         let mut out = String::new();
--- a/crates/stair-telemetry/tests/event_lines.rs
+++ b/crates/stair-telemetry/tests/event_lines.rs
@@ -1,4 +1,4 @@
-//! Structured lines: bounded, and never waiting for a reader that stands still.
+//! Structured lines are rate-limited and never block on a slow reader.
 
 use std::time::{
     Duration,
@@ -10,8 +10,9 @@
     Line, //
 };
 
-/// Ten thousand lines at once, ten times the usual. The writer must not wait for them to be
-/// written, and lines about failures go before the others.
+/// Guards against a burst that blocks the process: ten thousand lines, ten times the usual number,
+/// are written at once, and the caller must not wait for the logging thread. Lines about failures
+/// are exempt from the rate limit.
 #[test]
 fn burst_does_not_wait() {
     event::init("p\"1").expect("a logger");
--- a/crates/stair-telemetry/tests/explain.rs
+++ b/crates/stair-telemetry/tests/explain.rs
@@ -1,4 +1,4 @@
-//! One request's story out of the lines of several processes.
+//! The timeline of one request from the lines of several processes.
 
 use stair_telemetry::explain::story;
 
--- a/crates/stair-telemetry/tests/log_lines.rs
+++ b/crates/stair-telemetry/tests/log_lines.rs
@@ -1,4 +1,4 @@
-//! Log lines as they reach standard error, written by a copy of this test's own process.
+//! Log lines on standard error, written by a child process that runs this test binary.
 
 use std::process::Command;
 
--- a/crates/stair-telemetry/tests/losses.rs
+++ b/crates/stair-telemetry/tests/losses.rs
@@ -1,4 +1,4 @@
-//! What clients did not get in time, by route and reason.
+//! Counts of late and failed requests by route and reason.
 
 use stair_telemetry::losses::{
     End,
@@ -55,7 +55,7 @@
     assert_eq!(end_of(&[]), End::Unknown);
 }
 
-/// A late answer is put down to the wait that took the most of it.
+/// A late response is attributed to its main wait.
 #[test]
 fn why_late() {
     let woken = r#""event":"woken","took_ms":500.0"#;
--- a/crates/stair-telemetry/tests/operator_listener.rs
+++ b/crates/stair-telemetry/tests/operator_listener.rs
@@ -1,4 +1,4 @@
-//! The operator's listener over a real socket.
+//! The HTTP listener for operators over a real socket.
 
 use std::{
     sync::{
@@ -110,8 +110,8 @@
     assert_eq!(status, StatusCode::NOT_FOUND);
 }
 
-// The control thread of a process hangs, and its operator asks for the state to see why. He gets
-// a plain answer that says so after a few seconds, in place of a connection that stays silent.
+// Guards against a dump request that never completes: the control thread of the process hangs, and
+// the operator gets an error response after a few seconds.
 #[tokio::test]
 async fn hung_process() {
     let l = start_listener(true).await;
--- a/crates/stair-telemetry/tests/page.rs
+++ b/crates/stair-telemetry/tests/page.rs
@@ -1,4 +1,4 @@
-//! Counters and histograms as text.
+//! Counters, gauges and histograms as text.
 
 use std::time::Duration;
 
@@ -27,7 +27,8 @@
     }
 }
 
-/// A label takes a new value with each request by mistake. The page must not fill the memory.
+/// Guards against unbounded memory when a label takes a new value with each request by mistake. New
+/// series beyond the limit must be dropped.
 #[test]
 fn bounded() {
     let page = Page::default();
--- a/crates/stair-telemetry/tests/statsd_metrics.rs
+++ b/crates/stair-telemetry/tests/statsd_metrics.rs
@@ -67,8 +67,8 @@
     assert_eq!(receive(&statsd, &metrics, expected.len()), expected);
 }
 
-// The statsd server is gone or reads nothing. Counting goes on at full speed and drops what has
-// no room; a caller notices nothing.
+// Guards against a missing or blocked statsd server that delays requests: metrics that exceed the
+// queue are dropped, and counting does not block.
 #[test]
 fn missing_server() {
     let closed = UdpSocket::bind("127.0.0.1:0").unwrap();
