--- a/crates/stair-telemetry/src/event.rs
+++ b/crates/stair-telemetry/src/event.rs
@@ -57,8 +57,8 @@
 /// Lines that may wait for the logging thread.
 const QUEUE_CAPACITY: usize = 1024;
 
-/// Interval between flushes of the buffer. Buffering saves a system call per line; a killed process
-/// loses no more than the lines of one interval from it.
+/// Interval between flushes of the buffer. Buffering saves a system call per line; the interval
+/// bounds what a killed process loses.
 const FLUSH_INTERVAL: Duration = Duration::from_millis(100);
 
 static DROPPED: AtomicU64 = AtomicU64::new(0);
@@ -158,7 +158,7 @@
 /// Priority of a line under the rate limit.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Weight {
-    /// Dropped when the rate limit is exceeded.
+    /// Dropped when the rate limit is exceeded or the queue is full.
     Usual,
     /// A failure or a state change: exempt from the rate limit, dropped only when the queue is
     /// full.
