--- a/crates/stair-telemetry/src/page.rs
+++ b/crates/stair-telemetry/src/page.rs
@@ -1,6 +1,6 @@
-//! Counters and latency histograms as a page of text that a collector reads.
+//! Counters, gauges and latency histograms in the Prometheus text format.
 //!
-//! The exposition format of Prometheus: `name{labels} value`, histograms as cumulative buckets.
+//! A sample is `name{labels} value`; histograms have cumulative buckets in milliseconds.
 
 use std::{
     fmt::Write,
@@ -11,15 +11,18 @@
     time::Duration,
 };
 
-/// Upper bounds of the buckets, in milliseconds: from one store call to the longest request.
+/// Inclusive upper bounds of the buckets in milliseconds, from one store call to the longest
+/// request.
 const BOUNDS_MS: [u32; 14] = [
     2, 5, 10, 25, 50, 100, 200, 400, 800, 1600, 2500, 5000, 10_000, 15_000,
 ];
 
-/// Series kept at once. A label with unbounded values would otherwise fill the memory.
+/// Maximum number of series of each kind. It bounds the memory when a label has unbounded values.
 const MAX_SERIES: usize = 512;
 
-/// What a process counts. Names are constants; labels have few values.
+/// The metrics of a process. Labels must have few distinct values.
+///
+/// New series beyond 512 counters, gauges or histograms are dropped.
 #[derive(Debug, Default)]
 pub struct Page {
     inner: Mutex<Inner>,
@@ -47,34 +50,34 @@
     sum: Duration,
 }
 
-/// One label: its name and value.
+/// Name and value of a label.
 pub type Label<'a> = (&'static str, &'a str);
 
 impl Page {
     /// Adds to a counter.
     pub fn count(&self, name: &'static str, labels: &[Label<'_>], n: u64) {
-        if let Some(value) = slot(&mut self.lock().counters, name, labels) {
+        if let Some(value) = series(&mut self.lock().counters, name, labels) {
             *value += n;
         }
     }
 
     /// Sets a gauge.
     pub fn gauge(&self, name: &'static str, labels: &[Label<'_>], to: i64) {
-        if let Some(value) = slot(&mut self.lock().gauges, name, labels) {
+        if let Some(value) = series(&mut self.lock().gauges, name, labels) {
             *value = to;
         }
     }
 
-    /// Takes a time into a histogram.
+    /// Records a duration in a histogram.
     pub fn time(&self, name: &'static str, labels: &[Label<'_>], t: Duration) {
-        if let Some(h) = slot(&mut self.lock().histograms, name, labels) {
+        if let Some(h) = series(&mut self.lock().histograms, name, labels) {
             let ms = u32::try_from(t.as_millis()).unwrap_or(u32::MAX);
             h.buckets[BOUNDS_MS.partition_point(|b| *b < ms)] += 1;
             h.sum += t;
         }
     }
 
-    /// Returns the page.
+    /// Renders all metrics as text.
     pub fn text(&self) -> String {
         let inner = self.lock();
         let mut out = String::new();
@@ -113,8 +116,8 @@
     }
 }
 
-fn slot<'a, T: Default>(
-    list: &'a mut Vec<(Key, T)>,
+fn series<'a, T: Default>(
+    all: &'a mut Vec<(Key, T)>,
     name: &'static str,
     labels: &[Label<'_>],
 ) -> Option<&'a mut T> {
@@ -127,13 +130,13 @@
         name,
         labels: text.into(),
     };
-    let i = match list.binary_search_by(|(k, _)| k.cmp(&key)) {
+    let i = match all.binary_search_by(|(k, _)| k.cmp(&key)) {
         Ok(i) => i,
-        Err(_) if list.len() >= MAX_SERIES => return None,
+        Err(_) if all.len() >= MAX_SERIES => return None,
         Err(i) => {
-            list.insert(i, (key, T::default()));
+            all.insert(i, (key, T::default()));
             i
         }
     };
-    Some(&mut list[i].1)
+    Some(&mut all[i].1)
 }
--- a/crates/stair-telemetry/tests/event_lines.rs
+++ b/crates/stair-telemetry/tests/event_lines.rs
@@ -1,4 +1,4 @@
-//! Structured lines: bounded, and never waiting for a reader that stands still.
+//! Structured lines are rate-limited and never block on a slow reader.
 
 use std::time::{
     Duration,
@@ -10,12 +10,13 @@
     Line, //
 };
 
-/// Ten thousand lines at once, ten times the usual. The writer must not wait for them to be
-/// written, and lines about failures go before the others.
+/// Guards against a burst that blocks the process: ten thousand lines, ten times the usual number,
+/// are written at once, and the caller must not wait for the logging thread. Lines about failures
+/// are exempt from the rate limit.
 #[test]
 fn burst_does_not_wait() {
     event::init("p\"1").expect("a logger");
-    let begun = Instant::now();
+    let start = Instant::now();
     for i in 0..10_000 {
         Line::new("usual")
             .num("n", i)
@@ -23,6 +24,6 @@
             .write();
     }
     Line::failure("kept").write();
-    assert!(begun.elapsed() < Duration::from_secs(2));
+    assert!(start.elapsed() < Duration::from_secs(2));
     event::flush();
 }
